--- /dev/null
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -0,0 +1,492 @@
+"""Orders to one engine: what it holds, and what is asked of it, one step at a time."""
+
+import threading
+import time
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field, replace
+from typing import Final
+
+from returns.result import Success
+
+from ..decide.drains import DrainTime
+from ..fleet.config import EngineSpec, ModelSpec
+from ..fleet.upstream import Holding, UpstreamRecord
+from ..ids import Adapter, Epoch, Model
+from ..observe.logs import log
+from .engine_client import EngineClient, Order, Outcome
+
+ADAPTER_LOAD_S: Final = 0.02
+"""Seconds from an order to an adapter that serves; a load takes 5 to 14 ms while few
+are under way."""
+MAX_CONCURRENT_ADAPTER_LOADS: Final = 4
+"""Adapters that an engine loads at the same time, by its interface."""
+REPORT_LAG_S: Final = 0.15
+"""Seconds by which reports lag; one that is asked for sooner shows the state before."""
+POLL_INTERVAL_S: Final = 0.1
+"""Seconds between two looks at a load that is overdue."""
+ORDER_TIMEOUT_S: Final = 12.0
+"""Seconds after which a load that does not show counts as lost; an order that got no
+answer may be carried out this late."""
+UNKNOWN_STATE_BUSY_S: Final = 1.0
+"""Seconds that an engine counts as busy whose state is still to be learned."""
+REPORT_POLL_S: Final = 0.3
+"""Seconds between two asks for a state; an engine that has crashed answers none."""
+REPLACED_PAUSE_S: Final = 1.0
+"""Seconds without orders to an address at which another instance answers."""
+MAX_ATTEMPTS: Final = 3
+"""Tries of one order; each further one has first read the engine's state anew."""
+CONFLICT_RETRY_S: Final = 0.05
+"""Seconds between two tries of a load whose place is about to be free."""
+MAX_CONFLICT_ATTEMPTS: Final = 5
+LOAD_MARGIN_S: Final = 0.03
+"""Seconds beyond its time after which a load from near counts as done; the report that
+shows it comes some hundred ms later, and callers wait for it."""
+ADAPTER_WINDOW_S: Final = 0.5
+"""Seconds after the load of a model in which its engine begins no other one. It takes
+no order for an adapter during a load, and where loads follow each other at once, calls
+for adapters that it lacks are refused through all of them."""
+UNLOAD_DELAY_S: Final = 0.03
+"""Seconds between the news that a model leaves and the order: calls that are on their
+way to it would be refused there."""
+
+Clock = Callable[[], float]
+
+
+@dataclass
+class EngineState:
+    """One engine as the holder of the lease knows it."""
+
+    record: UpstreamRecord
+    spec: EngineSpec
+    inventory: Holding | None = None
+    adapter_used_at: dict[tuple[Model, Adapter], float] = field(default_factory=dict)
+    unloading: set[tuple[Model, Adapter]] = field(default_factory=set)
+    """Adapters whose unload was ordered; they keep their places until it is done."""
+    loaded_at: dict[Model, float] = field(default_factory=dict)
+    loading: Model | None = None
+    ready_at: float = 0.0
+    drain_time: DrainTime = field(default_factory=DrainTime)
+    evicting: frozenset[Model] = frozenset()
+
+    def memory_used(self) -> float:
+        """Return the MB that models and adapters take, those on their way included."""
+        if self.inventory is None:
+            return self.spec.memory
+        resident = set(self.inventory.models)
+        if self.loading is not None:
+            resident.add(self.loading)
+        used = sum(self._model_spec(m).memory for m in resident)
+        return used + self.adapters_memory()
+
+    def adapters_memory(self) -> float:
+        """Return the MB that adapters take or may take."""
+        if self.inventory is None:
+            return 0.0
+        largest = max(
+            (m.adapter_memory for m in self.spec.models.values()), default=0.0
+        )
+        return largest * self.spec.adapter_slots
+
+    def _model_spec(self, name: Model) -> ModelSpec:
+        spec = self.spec.models.get(name)
+        # A model that the configuration no longer names still takes memory.
+        return spec or ModelSpec(name, self.spec.memory, 0, 0, 0, 0, 0)
+
+
+class EngineController:
+    """Sends orders to one engine, one after the other, each on its precondition.
+
+    Every order names the number of orders that it comes after. An engine that has
+    taken another one meanwhile, or an earlier one late, refuses it, so nothing is ever
+    loaded into memory that something else took.
+    """
+
+    def __init__(
+        self,
+        engine: EngineState,
+        client: EngineClient,
+        epoch: Callable[[], Epoch | None],
+        publish: Callable[["EngineController"], None],
+        in_use: Callable[[EngineState, Model, Adapter], bool],
+        clock: Clock = time.monotonic,
+        sleep: Callable[[float], object] = time.sleep,
+    ) -> None:
+        self.engine = engine
+        self.lock = threading.Lock()
+        self._client = client
+        self._epoch = epoch
+        self._publish = publish
+        self._in_use = in_use
+        self._clock = clock
+        self._sleep = sleep
+        self.orders_allowed_at = 0.0
+        """Until then an order of another entry may be too recent."""
+        self.loads_allowed_at = 0.0
+        """Until then adapters go before another load."""
+        self.last_order_at: float | None = None
+        self.polled_at: float | None = None
+
+    def busy_for(self) -> float:
+        """Return the seconds until the engine can take an order for a model."""
+        now = self._clock()
+        engine = self.engine
+        if engine.loading is not None:
+            return max(POLL_INTERVAL_S, engine.ready_at - now)
+        if engine.inventory is None or engine.inventory.busy:
+            return max(UNKNOWN_STATE_BUSY_S, self.orders_allowed_at - now)
+        return max(0.0, self.orders_allowed_at - now, self.loads_allowed_at - now)
+
+    def needs_report(self) -> bool:
+        """Return whether the engine's state is unknown and due to be asked for."""
+        inventory = self.engine.inventory
+        if self.engine.loading is not None or (inventory and not inventory.busy):
+            return False
+        return self.polled_at is None or self._clock() - self.polled_at >= REPORT_POLL_S
+
+    def refresh(self) -> bool:
+        """Read the engine's own report; return whether it told anything."""
+        self.polled_at = self._clock()
+        result = self._client.report(self.engine.record)
+        if not isinstance(result, Success):
+            log(
+                "report_failed",
+                upstream=self.engine.record.name,
+                error=result.failure(),
+            )
+            return False
+        inventory: Holding = result.unwrap()
+        old = self.engine.inventory
+        if old is not None and old.orders > inventory.orders:
+            return False
+        self._set_inventory(inventory)
+        self._log_inventory(inventory)
+        return True
+
+    def _set_inventory(self, inventory: Holding) -> None:
+        self.engine.inventory = inventory
+        # What is gone, such as with its model, takes no place any more.
+        self.engine.unloading = {p for p in self.engine.unloading if inventory.has(*p)}
+
+    def _log_inventory(self, inventory: Holding) -> None:
+        loaded = [f"{m}/{'+'.join(sorted(a))}" for m, a in inventory.models.items()]
+        loading = [f"{m}/{'+'.join(sorted(a))}" for m, a in inventory.incoming.items()]
+        log(
+            "engine_learned",
+            upstream=self.engine.record.name,
+            orders=inventory.orders,
+            held=",".join(loaded) or "-",
+            coming=",".join(loading) or "-",
+            busy=inventory.busy,
+        )
+
+    # -- adapters ----------------------------------------------------------------
+
+    def load_adapter(self, model: Model, adapter: Adapter) -> bool:
+        """Have an adapter loaded; return whether it serves now."""
+        with self.lock:
+            if self._epoch() is None or self._clock() < self.orders_allowed_at:
+                return False
+            if not self._start_adapter_load(model, adapter):
+                return False
+            engine = self.engine
+            if engine.inventory is not None and engine.inventory.has(model, adapter):
+                engine.adapter_used_at[model, adapter] = self._clock()
+                self._publish(self)
+                return True
+        # Outside the lock: an engine loads several adapters at the same time.
+        self._sleep(ADAPTER_LOAD_S)
+        with self.lock:
+            self._mark_adapter_loaded(model, adapter)
+            self._publish(self)
+        return True
+
+    def _start_adapter_load(self, model: Model, adapter: Adapter) -> bool:
+        engine = self.engine
+        if engine.inventory is None and not self.refresh():
+            return False
+        for _ in range(MAX_ATTEMPTS):
+            inventory = engine.inventory
+            if inventory is None or model not in inventory.models:
+                return False
+            if (model, adapter) in engine.unloading:
+                return False
+            if model in engine.evicting or engine.loading is not None:
+                # It takes no order for an adapter while it loads a model.
+                return False
+            if inventory.has(model, adapter) or adapter in inventory.incoming.get(
+                model, frozenset()
+            ):
+                return True
+            if inventory.places_taken() >= engine.spec.adapter_slots:
+                if not self._free_adapter_slot():
+                    return False
+                continue
+            outcome = self._send(Order(True, model, adapter))
+            if outcome in (Outcome.ACCEPTED, Outcome.HOLDS):
+                self._mark_adapter_loading(model, adapter)
+                return True
+            if not self._resync(outcome):
+                return False
+        return False
+
+    def _mark_adapter_loading(self, model: Model, adapter: Adapter) -> None:
+        inventory = self.engine.inventory
+        assert inventory is not None
+        incoming = dict(inventory.incoming)
+        incoming[model] = incoming.get(model, frozenset()) | {adapter}
+        self.engine.inventory = replace(inventory, incoming=incoming)
+
+    def _mark_adapter_loaded(self, model: Model, adapter: Adapter) -> None:
+        inventory = self.engine.inventory
+        if inventory is None or model not in inventory.models:
+            return
+        models, incoming = dict(inventory.models), dict(inventory.incoming)
+        models[model] = models[model] | {adapter}
+        incoming[model] = incoming.get(model, frozenset()) - {adapter}
+        self.engine.inventory = replace(inventory, models=models, incoming=incoming)
+        self.engine.adapter_used_at[model, adapter] = self._clock()
+
+    def _free_adapter_slot(self) -> bool:
+        if self.engine.unloading:
+            return self._check_unloads()
+        return self._evict_adapter()
+
+    def _evict_adapter(self) -> bool:
+        """Unload the adapter that was used least recently and runs nothing."""
+        inventory = self.engine.inventory
+        assert inventory is not None
+        loaded = [(m, a) for m, names in inventory.models.items() for a in names]
+        idle = [pair for pair in loaded if not self._in_use(self.engine, *pair)]
+        if not idle:
+            log("no_adapter_slot", upstream=self.engine.record.name, held=len(loaded))
+            return False
+        model, adapter = min(
+            idle, key=lambda p: self.engine.adapter_used_at.get(p, 0.0)
+        )
+        self.engine.unloading.add((model, adapter))
+        self._publish(self)
+        outcome = self._send(Order(False, model, adapter))
+        if outcome is Outcome.HOLDS:
+            self._remove_adapter(model, adapter)
+            return True
+        if outcome is Outcome.ACCEPTED:
+            # Calls use it that nobody has told of, such as those of an entry that is
+            # cut off. Its place is free once they have ended and not before.
+            return False
+        self.engine.unloading.discard((model, adapter))
+        return self._resync(outcome)
+
+    def _remove_adapter(self, model: Model, adapter: Adapter) -> None:
+        inventory = self.engine.inventory
+        assert inventory is not None
+        models = dict(inventory.models)
+        models[model] = models[model] - {adapter}
+        self.engine.inventory = replace(inventory, models=models)
+        self.engine.unloading.discard((model, adapter))
+
+    def _check_unloads(self) -> bool:
+        """Return whether an adapter whose unload waited for its calls has gone."""
+        now = self._clock()
+        if self.polled_at is not None and now - self.polled_at < REPORT_LAG_S:
+            return False
+        self.polled_at = now
+        inventory = self.engine.inventory
+        result = self._client.report(self.engine.record)
+        if inventory is None or not isinstance(result, Success):
+            return False
+        report: Holding = result.unwrap()
+        if report.orders != inventory.orders:
+            return False
+        unloaded = [pair for pair in self.engine.unloading if not report.has(*pair)]
+        for model, adapter in unloaded:
+            if inventory.has(model, adapter):
+                self._remove_adapter(model, adapter)
+        return bool(unloaded)
+
+    # -- models ------------------------------------------------------------------
+
+    def load_model(
+        self,
+        model: Model,
+        evictions: tuple[Model, ...],
+        load_s: float,
+        drain_s: float = 0.0,
+    ) -> None:
+        """Load a model after others have made room for it; returns at its end.
+
+        ``seconds`` is the time of the load, ``drain`` that of the unloads before it.
+        """
+        engine = self.engine
+        with self.lock:
+            engine.evicting = frozenset(evictions)
+            engine.loading = model
+            engine.ready_at = self._clock() + drain_s + load_s
+            self._publish(self)
+        try:
+            if evictions:
+                self._sleep(UNLOAD_DELAY_S)
+            started_at = self._clock()
+            if all(self._unload_model(evicted, drain_s > 0) for evicted in evictions):
+                if drain_s:
+                    engine.drain_time.saw(self._clock() - started_at)
+                self._order_load(model, load_s)
+        finally:
+            with self.lock:
+                if engine.spec.adapter_slots:
+                    self.loads_allowed_at = self._clock() + ADAPTER_WINDOW_S
+                engine.loading = None
+                engine.evicting = frozenset()
+                self._publish(self)
+
+    def _order_load(self, model: Model, load_s: float) -> None:
+        engine = self.engine
+        for _ in range(MAX_ATTEMPTS):
+            with self.lock:
+                inventory = engine.inventory
+                if inventory is None or inventory.has(model, None):
+                    return
+                if engine.memory_used() > engine.spec.memory:
+                    log("no_room", upstream=engine.record.name, model=model)
+                    return
+                outcome = self._send_with_retry(Order(True, model))
+                if outcome not in (Outcome.ACCEPTED, Outcome.HOLDS):
+                    if self._resync(outcome):
+                        continue
+                    return
+                engine.ready_at = self._clock() + load_s
+                self._publish(self)
+            if load_s < engine.spec.models[model].load_cold:
+                self._sleep(load_s + LOAD_MARGIN_S)
+                self._mark_model_loaded(model)
+                load_s = 0.0
+            if self._wait_for_report(lambda report: report.has(model, None), load_s):
+                engine.loaded_at[model] = self._clock()
+            return
+
+    def _send_with_retry(self, order: Order) -> Outcome:
+        """Send an order that the engine refuses until the one before is done."""
+        for _ in range(MAX_CONFLICT_ATTEMPTS):
+            outcome = self._send(order)
+            if outcome is not Outcome.CONFLICT:
+                return outcome
+            self._sleep(CONFLICT_RETRY_S)
+        return outcome
+
+    def _mark_model_loaded(self, model: Model) -> None:
+        """Tell that a model serves whose load takes no longer than is known."""
+        with self.lock:
+            inventory = self.engine.inventory
+            if inventory is None or model in inventory.models:
+                return
+            models = dict(inventory.models)
+            models[model] = frozenset()
+            self.engine.inventory = replace(inventory, models=models)
+            self._publish(self)
+
+    def _unload_model(self, model: Model, in_use: bool) -> bool:
+        """Unload a model; ``runs`` says whether its calls are to be waited for."""
+        for _ in range(MAX_ATTEMPTS):
+            with self.lock:
+                inventory = self.engine.inventory
+                if inventory is None:
+                    return False
+                if model not in inventory.models:
+                    return True
+                outcome = self._send(Order(False, model))
+                if outcome not in (Outcome.ACCEPTED, Outcome.HOLDS):
+                    if self._resync(outcome):
+                        continue
+                    return False
+                if not in_use:
+                    # It is gone at once, and if a call is left that nobody has told of,
+                    # the engine refuses the next order until it has ended.
+                    self._remove_model(model)
+                    return True
+            return self._wait_for_report(lambda report: model not in report.models, 0.0)
+        return False
+
+    def _remove_model(self, model: Model) -> None:
+        inventory = self.engine.inventory
+        assert inventory is not None
+        models = {m: a for m, a in inventory.models.items() if m != model}
+        self.engine.inventory = replace(inventory, models=models)
+
+    def _wait_for_report(
+        self, is_done: Callable[[Holding], bool], min_wait_s: float
+    ) -> bool:
+        """Wait until the engine's report shows what an order asked for."""
+        self._sleep(max(min_wait_s, REPORT_LAG_S))
+        deadline = self._clock() + ORDER_TIMEOUT_S
+        while self._clock() < deadline and self._epoch() is not None:
+            result = self._client.report(self.engine.record)
+            if isinstance(result, Success):
+                done = self._apply_report(result.unwrap(), is_done)
+                if done is not None:
+                    return done
+            self._sleep(POLL_INTERVAL_S)
+        log("order_overdue", upstream=self.engine.record.name)
+        with self.lock:
+            self.engine.inventory = None
+        return False
+
+    def _apply_report(
+        self, report: Holding, is_done: Callable[[Holding], bool]
+    ) -> bool | None:
+        """Take a report; return whether the order is done, None if not yet."""
+        with self.lock:
+            inventory = self.engine.inventory
+            if inventory is None:
+                return False
+            # One that is older than our last order says nothing of it.
+            if report.orders < inventory.orders or report.busy or not is_done(report):
+                return None
+            self._set_inventory(report)
+            return True
+
+    # -- orders ------------------------------------------------------------------
+
+    def _send(self, order: Order) -> Outcome:
+        inventory = self.engine.inventory
+        epoch = self._epoch()
+        if inventory is None or epoch is None or self._clock() < self.orders_allowed_at:
+            return Outcome.FENCED
+        self.last_order_at = self._clock()
+        outcome = self._client.order(self.engine.record, order, inventory.orders, epoch)
+        log(
+            "order",
+            upstream=self.engine.record.name,
+            load=order.load,
+            model=order.model,
+            adapter=order.adapter or "-",
+            after=inventory.orders,
+            epoch=epoch,
+            outcome=outcome.value,
+        )
+        unloaded = outcome is Outcome.HOLDS and not order.load
+        if outcome is Outcome.ACCEPTED or unloaded:
+            self.engine.inventory = replace(inventory, orders=inventory.orders + 1)
+        return outcome
+
+    def _resync(self, outcome: Outcome) -> bool:
+        """Learn the engine's state anew; return whether another try may help."""
+        if outcome is Outcome.GONE:
+            # Until its entry is removed; an order a moment later meets the same.
+            self.engine.inventory = None
+            self.orders_allowed_at = self._clock() + REPLACED_PAUSE_S
+        if outcome in (Outcome.FENCED, Outcome.GONE, Outcome.LIMITED):
+            return False
+        self._sleep(REPORT_LAG_S)
+        self.engine.inventory = None
+        return self.refresh()
+
+
+def usable_models(engine: EngineState) -> Mapping[Model, tuple[Adapter, ...]]:
+    """Return what calls may use at an engine, without what is about to leave."""
+    if engine.inventory is None:
+        return {}
+    unloading = engine.unloading
+    return {
+        model: tuple(sorted(name for name in names if (model, name) not in unloading))
+        for model, names in engine.inventory.models.items()
+        if model not in engine.evicting
+    }
--- a/src/persimmonhitch/direct/handover.py
+++ b/src/persimmonhitch/direct/handover.py
@@ -16,42 +16,42 @@
 @dataclass(frozen=True)
 class _LastOrder:
     vm: Vm
-    orders: int
-    at: float
+    order_count: int
+    sent_at: float
 
 
 class OrderHistory:
     """Orders of other entries, as they told them; times are monotonic seconds."""
 
     def __init__(
-        self, vm: Vm, guard: float, clock: Callable[[], float] = time.monotonic
+        self, vm: Vm, guard_s: float, clock: Callable[[], float] = time.monotonic
     ) -> None:
         self._vm = vm
-        self._guard = guard
+        self._guard_s = guard_s
         self._clock = clock
         self._started_at = clock()
-        self._last: dict[Upstream, _LastOrder] = {}
-        self._resigned: set[Vm] = set()
+        self._last_orders: dict[Upstream, _LastOrder] = {}
+        self._released: set[Vm] = set()
 
-    def hear(self, vm: Vm, upstream: Upstream, orders: int) -> None:
+    def record_orders(self, vm: Vm, upstream: Upstream, order_count: int) -> None:
         """Take the number of orders that an engine has had from its orderer."""
-        self._resigned.discard(vm)
-        last = self._last.get(upstream)
-        if last is None or last.orders != orders or last.vm != vm:
-            self._last[upstream] = _LastOrder(vm, orders, self._clock())
+        self._released.discard(vm)
+        last = self._last_orders.get(upstream)
+        if last is None or last.order_count != order_count or last.vm != vm:
+            self._last_orders[upstream] = _LastOrder(vm, order_count, self._clock())
 
-    def hear_resigned(self, vm: Vm, ages: Mapping[Upstream, float]) -> None:
+    def record_release(self, vm: Vm, ages: Mapping[Upstream, float]) -> None:
         """Take the seconds since the last orders of one that gives none any more."""
         now = self._clock()
-        self._resigned.add(vm)
+        self._released.add(vm)
         for upstream, age in ages.items():
-            self._last[upstream] = _LastOrder(vm, -1, now - age)
+            self._last_orders[upstream] = _LastOrder(vm, -1, now - age)
 
-    def free_from(
+    def orders_allowed_at(
         self,
         upstream: Upstream,
-        began_at: float,
-        before: Predecessor | None,
+        leading_since: float,
+        predecessor: Predecessor | None,
         ended: bool,
     ) -> float:
         """Return the time from which an engine may be ordered.
@@ -66,22 +66,26 @@
             Whether the process of ``before`` is known to have ended. Where it is not
             and did not resign, it may have sent orders until its lease was over.
         """
-        if before is None:
-            return began_at
-        if before.vm != self._vm and not ended and before.vm not in self._resigned:
-            return began_at + self._guard
-        last = self._last.get(upstream)
-        free = began_at if last is None else last.at + self._guard
-        return max(free, self._complete_from(before))
+        if predecessor is None:
+            return leading_since
+        if (
+            predecessor.vm != self._vm
+            and not ended
+            and predecessor.vm not in self._released
+        ):
+            return leading_since + self._guard_s
+        last = self._last_orders.get(upstream)
+        allowed_at = leading_since if last is None else last.sent_at + self._guard_s
+        return max(allowed_at, self._complete_since(predecessor))
 
-    def _complete_from(self, before: Predecessor) -> float:
+    def _complete_since(self, predecessor: Predecessor) -> float:
         """Return the time from which this history holds all orders that still count.
 
         A process that has just started was told of none of those before, however
         properly their sender resigned: in a restart of all entries in turn it would
         order engines moments after the last holder.
         """
-        if before.vm == self._vm and before.held_for >= self._guard:
+        if predecessor.vm == self._vm and predecessor.held_for >= self._guard_s:
             # For so long, nobody but the last process on this VM gave orders.
             return self._started_at
-        return self._started_at + self._guard
+        return self._started_at + self._guard_s
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -49,14 +49,13 @@
 from .app import CallerApp, StatusApp
 from .blocked_calls import BlockedCalls
 from .broadcast import Broadcast
-from .changes import NewsChanges
 from .conns import Conns
 from .crash_checks import CrashChecks
 from .dispatcher import Dispatcher
 from .exchange import Exchange
 from .gateway import Gateway
 from .leader import Leader
-from .leaseholder import LeaseHolder
+from .leader_election import LeaderElection
 from .news import (
     Bundle,
     CrashNews,
@@ -75,16 +74,17 @@
 from .poison import PoisonGuard
 from .quota import Quota
 from .settings import DirectSettings
+from .update_delta import UpdateDelta
 from .upstream_limits import UpstreamLimits
 from .upstreams import UpstreamList
-from .views import Listeners, make_watchers
+from .watchers import Listeners, make_watchers
 
-TICK: Final = 0.05
+TICK_INTERVAL_S: Final = 0.05
 STATUS_THREADS: Final = 3
 LEASE_NAME: Final = "orders"
-LEASE_CALL_PART: Final = 0.3
+LEASE_CALL_FRACTION: Final = 0.3
 """Part of the lease's time that one call for it may take."""
-STOP_MARGIN: Final = 0.25
+STOP_MARGIN_S: Final = 0.25
 """Seconds before the platform's limit at which the last requests are given up."""
 
 
@@ -101,13 +101,13 @@
         self.vm = Vm(cfg.vm)
         self.incarnation = new_incarnation()
         self.metrics = Metrics("direct", cfg.vm)
-        self.in_force = InForce(NOTHING, RouteTable(()))
-        self.leaving = threading.Event()
+        self.active_config = InForce(NOTHING, RouteTable(()))
+        self.draining = threading.Event()
         self.refusing = threading.Event()
         """Set when too little time is left at a stop for another request."""
         self._stopped = threading.Event()
         self._tick_due = threading.Event()
-        self._told_models: dict[
+        self._published_models: dict[
             Upstream, tuple[frozenset[Model], frozenset[Model]]
         ] = {}
         """What models all others were told last of each engine, there and coming."""
@@ -131,7 +131,7 @@
             observe_age=self.metrics.news_age,
         )
         self.pushes = Pushes(self.mesh.send_frame, note_era=self.eras.note)
-        self.changes = NewsChanges()
+        self.update_delta = UpdateDelta()
         self.peers: frozenset[Vm] = frozenset()
         self.leader_vm: Vm | None = None
         self.quota = Quota(lambda: self.peers)
@@ -140,16 +140,16 @@
             self.vm, changed=self._tick_due.set, alone=self.quota.hears_nobody
         )
         self.limits = UpstreamLimits(
-            self._ask_limit, lambda: len(self.peers) + 1, changed=self._tick_due.set
+            self._request_limit, lambda: len(self.peers) + 1, changed=self._tick_due.set
         )
         self.blocked_calls = BlockedCalls(store, self.poison, self.overlay.place)
         self.conns = Conns()
         self.crash_checks = CrashChecks(self.poison, self.conns)
         self.dispatcher = Dispatcher(
-            Zone(cfg.zone), self._want, self.poison, self.limits
+            Zone(cfg.zone), self._request_load, self.poison, self.limits
         )
         self.leader = self._make_leader()
-        self.lease = self.leader.lease
+        self.election = self.leader.election
         self.upstreams = UpstreamList(self._on_upstreams)
         listeners = Listeners(
             self._on_config,
@@ -161,31 +161,31 @@
         self.pushes.serve(self.watchers)
         self.registration = Registration(store, Kind.ENTRY, cfg.vm)
         self.eras.on_change(self._on_era)
-        self._hear()
-        self._serve()
+        self._register_handlers()
+        self._make_servers()
 
     def _make_leader(self) -> Leader:
         cfg = self.cfg
         # Its renewals must be known to have failed well before the lease is over.
-        quick = StoreClient(cfg.store, cfg.lease * LEASE_CALL_PART, self.eras)
+        lease_store = StoreClient(cfg.store, cfg.lease * LEASE_CALL_FRACTION, self.eras)
         lease = LeaseKeeper(
-            quick,
+            lease_store,
             LEASE_NAME,
             self.vm,
             self.incarnation,
             cfg.lease,
             store_era=lambda: self.eras.current,
         )
-        guard = cfg.order_guard_ms / 1000
+        guard_s = cfg.order_guard_ms / 1000
         return Leader(
             self.vm,
-            lambda last_orders: LeaseHolder(
-                self.vm, lease, self, last_orders, guard, place=self.overlay.place
+            lambda last_order_times: LeaderElection(
+                self.vm, lease, self, last_order_times, guard_s, rank=self.overlay.place
             ),
-            self._tell_holding,
+            self._publish_inventory,
             self.dispatcher.read_rate,
             self.limits,
-            answer=self.mesh.send,
+            send=self.mesh.send,
         )
 
     @classmethod
@@ -193,30 +193,30 @@
         """Build the process from its settings."""
         return cls(cfg)
 
-    def _hear(self) -> None:
+    def _register_handlers(self) -> None:
         self.mesh.on(Bundle, self.broadcast.hear)
         self.mesh.on(StorePush, lambda _vm, msg: self.pushes.hear(msg))
-        self.mesh.on(Want, self.leader.hear_want)
-        self.mesh.on(HoldingNews, self._on_holding)
-        self.mesh.on(StoreAnswer, self.lease.hear_answer)
-        self.mesh.on(LimitAsk, self._on_limit_ask)
+        self.mesh.on(Want, self.leader.receive_load_request)
+        self.mesh.on(HoldingNews, self._on_inventory_update)
+        self.mesh.on(StoreAnswer, self.election.receive_probe_reply)
+        self.mesh.on(LimitAsk, self._on_limit_request)
         self.mesh.on(LimitGrant, lambda _vm, msg: self.limits.hear_grant(msg))
-        for_all = self.broadcast.on
-        for_all(NodeNews, self._on_node)
-        for_all(CrashNews, self.poison.hear)
-        for_all(LimitNews, self.limits.hear)
-        for_all(EraNews, self._on_era_news)
-        for_all(HoldingNews, lambda vm, msg, _at: self._on_holding(vm, msg))
-        for_all(Want, lambda vm, msg, _at: self.leader.hear_want(vm, msg))
-        for_all(StoreAsk, lambda vm, msg, _at: self.lease.hear_ask(vm, msg))
-        for_all(StoreAnswer, lambda vm, msg, _at: self.lease.hear_answer(vm, msg))
-        for_all(Resigned, lambda vm, msg, _at: self.lease.hear_resigned(vm, msg))
-        for_all(Renewed, lambda _vm, msg, at: self.lease.hear_renewed(msg, at))
-
-    def _serve(self) -> None:
+        on = self.broadcast.on
+        on(NodeNews, self._on_entry_update)
+        on(CrashNews, self.poison.hear)
+        on(LimitNews, self.limits.hear)
+        on(EraNews, self._on_era_update)
+        on(HoldingNews, lambda vm, msg, _at: self._on_inventory_update(vm, msg))
+        on(Want, lambda vm, msg, _at: self.leader.receive_load_request(vm, msg))
+        on(StoreAsk, lambda vm, msg, _at: self.election.receive_probe(vm, msg))
+        on(StoreAnswer, lambda vm, msg, _at: self.election.receive_probe_reply(vm, msg))
+        on(Resigned, lambda vm, msg, _at: self.election.receive_release(vm, msg))
+        on(Renewed, lambda _vm, msg, at: self.election.receive_renewal(msg, at))
+
+    def _make_servers(self) -> None:
         cfg = self.cfg
         gateway = Gateway(
-            lambda: self.in_force,
+            lambda: self.active_config,
             self.quota,
             self.dispatcher,
             Exchange(self.conns, read_reply),
@@ -225,8 +225,8 @@
             self.poison,
             self.limits,
         )
-        callers = CallerApp(gateway, self._full)
-        status = StatusApp(self._ready, self.metrics)
+        callers = CallerApp(gateway, self._check_connections)
+        status = StatusApp(self._is_ready, self.metrics)
         host, port = cfg.callers[0]
         self.server = WebServer(callers, host, port, cfg.threads, keep_streams=True)
         self.status = [
@@ -237,29 +237,31 @@
     def hello(self) -> Hello:
         """Return the first message of each link."""
         cfg = self.cfg
-        version = self.in_force.cfg.version
+        version = self.active_config.cfg.version
         return Hello(
             PROTOCOL, Role.ENTRY, self.vm, Zone(cfg.zone), self.incarnation, version
         )
 
-    def _full(self) -> Failure | None:
+    def _check_connections(self) -> Failure | None:
         if self.refusing.is_set():
             return STOPPING
         return connections_full(len(self.watchdog), self.cfg.threads)
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         needed = self.watchers[Kind.FLEET], self.watchers[Kind.UPSTREAM]
         listed = all(watcher.ready.is_set() for watcher in needed)
-        return listed and self.in_force.cfg.version > 0 and not self.leaving.is_set()
+        return (
+            listed and self.active_config.cfg.version > 0 and not self.draining.is_set()
+        )
 
     # -- what is told ----------------------------------------------------------------
 
-    def _on_era_news(self, _vm: Vm, msg: EraNews, _as_of: float) -> None:
+    def _on_era_update(self, _vm: Vm, msg: EraNews, _as_of: float) -> None:
         self.eras.note(Era(msg.era))
 
     def _on_era(self, era: Era) -> None:
         """Trust nothing that the store said before it came back from a copy."""
-        self.lease.store_restored()
+        self.election.store_restored()
         for watcher in self.watchers.values():
             watcher.restored()
         self.registration.rewrite()
@@ -275,12 +277,12 @@
             log("config_unreadable", version=obj.version, error=result.failure())
             return
         cfg: FleetConfig = result.unwrap()
-        if cfg.version <= self.in_force.cfg.version:
+        if cfg.version <= self.active_config.cfg.version:
             return
         self.quota.update(cfg)
         self.dispatcher.configure(cfg)
         self.leader.configure(cfg)
-        self.in_force = InForce(cfg, RouteTable(cfg.routes))
+        self.active_config = InForce(cfg, RouteTable(cfg.routes))
         self.metrics.config_version(cfg.version)
         log("config_in_force", version=cfg.version, routes=len(cfg.routes))
 
@@ -288,15 +290,15 @@
         self.poison.listed(records)
         self.limits.listed(records)
         self.dispatcher.update(records)
-        self.leader.update(records)
+        self.leader.update_upstreams(records)
 
     def _on_entries(self, view: View) -> None:
         self.peers = frozenset(Vm(name) for name in view.objects) - {self.vm}
         self.mesh.update(view)
-        found = (PeerInfo.from_object(obj) for obj in view.objects.values())
+        infos = (PeerInfo.from_object(obj) for obj in view.objects.values())
         self.overlay.update(
             Member(info.vm, info.zone, info.cores)
-            for info in found
+            for info in infos
             if info is not None and info.vm != self.vm
         )
 
@@ -304,22 +306,22 @@
         links = self.broadcast.routes.links()
         return links if self.leader_vm is None else links | {self.leader_vm}
 
-    def _on_node(self, vm: Vm, msg: NodeNews, as_of: float) -> None:
+    def _on_entry_update(self, vm: Vm, msg: NodeNews, as_of: float) -> None:
         self.quota.hear(vm, msg.used, as_of)
         self.dispatcher.hear_node(vm, msg)
-        self.leader.hear_node(vm, msg)
+        self.leader.receive_entry_update(vm, msg)
 
-    def _on_holding(self, vm: Vm, msg: HoldingNews) -> None:
+    def _on_inventory_update(self, vm: Vm, msg: HoldingNews) -> None:
         self.leader_vm = vm
-        self.lease.hear_holding(vm, msg)
+        self.election.receive_inventory_update(vm, msg)
         self.dispatcher.hear_holding(msg)
 
-    def _tell_holding(self, msg: HoldingNews) -> None:
+    def _publish_inventory(self, msg: HoldingNews) -> None:
         self.leader_vm = None
         self.dispatcher.hear_holding(msg)
         models = frozenset(msg.models), frozenset(msg.coming)
-        changed = self._told_models.get(msg.upstream) != models
-        self._told_models[msg.upstream] = models
+        changed = self._published_models.get(msg.upstream) != models
+        self._published_models[msg.upstream] = models
         self.broadcast.publish(msg, urgent=changed)
         if changed:
             self._tick_due.set()
@@ -330,11 +332,11 @@
             self.broadcast.publish(msg)
         return True
 
-    def tell_all(self, msg: object) -> None:
+    def send_to_all(self, msg: object) -> None:
         """Send a message to all entries in reach."""
         self.broadcast.publish(msg)
 
-    def listed(self) -> frozenset[Vm]:
+    def peer_vms(self) -> frozenset[Vm]:
         """Return all other entries."""
         return self.peers
 
@@ -342,22 +344,22 @@
         """Return whether another process than ``old`` has greeted from a VM."""
         return self.broadcast.incarnation(vm) not in (None, old)
 
-    def _want(self, msg: Want) -> None:
-        self.leader.hear_want(self.vm, msg)
-        if self.lease.epoch() is not None:
+    def _request_load(self, msg: Want) -> None:
+        self.leader.receive_load_request(self.vm, msg)
+        if self.election.epoch() is not None:
             return
         if self.leader_vm is None or not self.mesh.send(self.leader_vm, msg):
             self.broadcast.publish(msg)
 
-    def _ask_limit(self, msg: LimitAsk) -> None:
+    def _request_limit(self, msg: LimitAsk) -> None:
         """Ask for a place at an upstream; no answer comes while there is no holder."""
-        if self.lease.epoch() is not None:
+        if self.election.epoch() is not None:
             self.limits.hear_grant(self.limits.grant(self.vm, msg))
         elif self.leader_vm is not None:
             self.mesh.send(self.leader_vm, msg)
 
-    def _on_limit_ask(self, vm: Vm, msg: LimitAsk) -> None:
-        if self.lease.epoch() is not None:
+    def _on_limit_request(self, vm: Vm, msg: LimitAsk) -> None:
+        if self.election.epoch() is not None:
             self.mesh.send(vm, self.limits.grant(vm, msg))
 
     # -- life ------------------------------------------------------------------------
@@ -389,22 +391,22 @@
         log("started", http=self.server.port, link=self.mesh.port)
 
     def _tick(self) -> None:
-        told_at = 0.0
+        published_at = 0.0
         while not self._stopped.is_set():
-            self._tick_due.wait(TICK)
+            self._tick_due.wait(TICK_INTERVAL_S)
             self._tick_due.clear()
             try:
                 self.upstreams.expire()
                 self.dispatcher.tick()
-                if time.monotonic() - told_at >= NEWS_EVERY:
-                    told_at = time.monotonic()
-                    self._tell_node()
-                crash_news = self.poison.news()
-                if crash_news is not None:
-                    self.broadcast.publish(crash_news, urgent=True)
-                limit_news = self.limits.news()
-                if limit_news is not None:
-                    self.broadcast.publish(limit_news, urgent=True)
+                if time.monotonic() - published_at >= NEWS_EVERY:
+                    published_at = time.monotonic()
+                    self._publish_entry_update()
+                crash_update = self.poison.news()
+                if crash_update is not None:
+                    self.broadcast.publish(crash_update, urgent=True)
+                limit_update = self.limits.news()
+                if limit_update is not None:
+                    self.broadcast.publish(limit_update, urgent=True)
                 self.broadcast.flush()
                 self.pushes.flush(self._followers())
             except Exception as exc:
@@ -417,10 +419,10 @@
         routes = self.broadcast.routes
         return routes.children | (routes.across if routes.leads else frozenset())
 
-    def _tell_node(self) -> None:
-        news = replace(self.dispatcher.news(), used=self.quota.used())
-        self.leader.hear_node(self.vm, news)
-        self.broadcast.publish(self.changes.take(news, time.monotonic()))
+    def _publish_entry_update(self) -> None:
+        update = replace(self.dispatcher.news(), used=self.quota.used())
+        self.leader.receive_entry_update(self.vm, update)
+        self.broadcast.publish(self.update_delta.compute(update, time.monotonic()))
 
     def reload(self, path: Path) -> None:
         """Read the settings anew; those of a stop are taken while the process runs."""
@@ -442,24 +444,24 @@
         Readiness goes first and the listener stays open for a while, since the
         balancer sends new connections until it has asked twice in vain.
         """
-        began = time.monotonic()
-        self.leaving.set()
+        started_at = time.monotonic()
+        self.draining.set()
         self.server.leave()
-        threading.Thread(target=self._leave, name="leave", daemon=True).start()
+        threading.Thread(target=self._step_down, name="leave", daemon=True).start()
         life.forced.wait(self.cfg.stop_notice)
         self.server.stop_listening()
         self.server.close_idle()
         self.refusing.set()
         self.dispatcher.close(STOPPING)
-        left = self.cfg.stop_limit - STOP_MARGIN - (time.monotonic() - began)
-        cut = self.server.drain(left, life.forced)
-        if cut:
-            log("stop_cut", requests=cut)
+        timeout = self.cfg.stop_limit - STOP_MARGIN_S - (time.monotonic() - started_at)
+        unfinished = self.server.drain(timeout, life.forced)
+        if unfinished:
+            log("stop_cut", requests=unfinished)
             self.watchdog.end_all()
-            self.server.drain(STOP_MARGIN / 2, life.forced)
+            self.server.drain(STOP_MARGIN_S / 2, life.forced)
         self._stopped.set()
 
-    def _leave(self) -> None:
+    def _step_down(self) -> None:
         self.leader.stop()
         self.registration.remove()
 
--- a/src/persimmonhitch/direct/upstreams.py
+++ b/src/persimmonhitch/direct/upstreams.py
@@ -13,13 +13,13 @@
 from ..store.objects import StoredObject, Version
 from ..store.watcher import View
 
-RETURN_TIME: Final = 2.0
+REREGISTRATION_TIME_S: Final = 2.0
 """Seconds after the store's return in which upstreams enter themselves again, whose
 entries lapsed only because they could not renew them."""
 
 
 @dataclass(frozen=True)
-class _Decoded:
+class _DecodedRecord:
     version: Version
     record: UpstreamRecord | None
 
@@ -38,14 +38,14 @@
     ) -> None:
         self._listener = listener
         self._clock = clock
-        self._decoded: dict[str, _Decoded] = {}
-        self._lapsing: dict[Upstream, tuple[float, UpstreamRecord]] = {}
-        self._away_at = -RETURN_TIME
-        self._told: list[UpstreamRecord] = []
+        self._decoded: dict[str, _DecodedRecord] = {}
+        self._expiring: dict[Upstream, tuple[float, UpstreamRecord]] = {}
+        self._store_unavailable_at = -REREGISTRATION_TIME_S
+        self._published: list[UpstreamRecord] = []
 
-    def away(self) -> None:
+    def store_unavailable(self) -> None:
         """Note that the store does not answer."""
-        self._away_at = self._clock()
+        self._store_unavailable_at = self._clock()
 
     def update(self, view: View) -> None:
         """Take the store's entries."""
@@ -56,36 +56,36 @@
         now = self._clock()
         for name, record in old.items():
             if name not in self._decoded and record is not None:
-                self._removed(record, now)
-        self._tell()
+                self._on_removed(record, now)
+        self._notify()
 
-    def _removed(self, record: UpstreamRecord, now: float) -> None:
-        outage = now - self._away_at < RETURN_TIME
-        if outage and not record.draining:
-            self._lapsing[record.name] = (now + RETURN_TIME, record)
-        log("upstream_removed", upstream=record.name, held=outage)
+    def _on_removed(self, record: UpstreamRecord, now: float) -> None:
+        recent_outage = now - self._store_unavailable_at < REREGISTRATION_TIME_S
+        if recent_outage and not record.draining:
+            self._expiring[record.name] = (now + REREGISTRATION_TIME_S, record)
+        log("upstream_removed", upstream=record.name, held=recent_outage)
 
-    def _decode(self, name: str, obj: StoredObject) -> _Decoded:
+    def _decode(self, name: str, obj: StoredObject) -> _DecodedRecord:
         old = self._decoded.get(name)
         if old is not None and old.version == obj.version:
             return old
         try:
-            record = self._still_leaving(old, obj, decode_upstream(name, obj.spec))
+            record = self._keep_draining(old, obj, decode_upstream(name, obj.spec))
         except UnreadableEntry as exc:
             log("upstream_unreadable", name=name, version=obj.version, error=str(exc))
-            return _Decoded(obj.version, None)
+            return _DecodedRecord(obj.version, None)
         self._log_change(old.record if old else None, record)
-        return _Decoded(obj.version, record)
+        return _DecodedRecord(obj.version, record)
 
-    def _still_leaving(
-        self, old: _Decoded | None, obj: StoredObject, new: UpstreamRecord
+    def _keep_draining(
+        self, old: _DecodedRecord | None, obj: StoredObject, new: UpstreamRecord
     ) -> UpstreamRecord:
         """Keep what was leaving so, where a copy of the store shows it as before."""
         if old is None or old.record is None or not old.record.draining:
             return new
         restored = era_of(obj.version) > era_of(old.version)
-        same = old.record.born == new.born
-        return replace(new, draining=True) if restored and same else new
+        same_instance = old.record.born == new.born
+        return replace(new, draining=True) if restored and same_instance else new
 
     def _log_change(self, old: UpstreamRecord | None, new: UpstreamRecord) -> None:
         if old is None or old.draining != new.draining:
@@ -100,16 +100,16 @@
     def expire(self) -> None:
         """Drop what has not come back in time."""
         now = self._clock()
-        over = [name for name, (until, _) in self._lapsing.items() if until <= now]
-        for name in over:
-            del self._lapsing[name]
-        if over:
-            self._tell()
+        expired = [name for name, (until, _) in self._expiring.items() if until <= now]
+        for name in expired:
+            del self._expiring[name]
+        if expired:
+            self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         records = {i.record.name: i.record for i in self._decoded.values() if i.record}
         for name in records:
-            self._lapsing.pop(name, None)
-        held = [record for _, record in self._lapsing.values()]
-        self._told = [*records.values(), *held]
-        self._listener(self._told)
+            self._expiring.pop(name, None)
+        retained = [record for _, record in self._expiring.values()]
+        self._published = [*records.values(), *retained]
+        self._listener(self._published)
--- a/src/persimmonhitch/direct/views.py
+++ b/src/persimmonhitch/direct/watchers.py
@@ -8,19 +8,19 @@
 from ..store.watcher import Changed, View, Watcher
 from .upstreams import UpstreamList
 
-WATCH: Final = 2.0
+WATCH_S: Final = 2.0
 """Seconds of one watch: a connection that went silent is noticed a little after, within
 the time that a change may take to be in force."""
-COALESCE: Final = 0.7
+UPSTREAM_WATCH_PAUSE_S: Final = 0.7
 """Seconds between two watches of the upstreams. Each of them writes its entry about
 each second, and a watch ends at the first; without the pause every entry of an upstream
 would cost every one of ours a call. An upstream may get work for two seconds after it
 is leaving."""
-RETRY_MOST: Final = 1.0
+MAX_RETRY_S: Final = 1.0
 """Seconds between tries while the store is away."""
-ENTRIES_PAUSE: Final = 1.0
+ENTRY_WATCH_PAUSE_S: Final = 1.0
 """Seconds between two watches of the entries, which start and stop many at a time."""
-BLOCKED_WATCH: Final = 5.0
+BLOCKED_WATCH_S: Final = 5.0
 """Seconds of a watch of blocked calls, which other entries tell sooner."""
 
 Listener = Callable[[View], None]
@@ -42,32 +42,32 @@
     """Return a watcher for each kind; ``changed`` takes all that they see."""
     return {
         Kind.FLEET: Watcher(
-            store, Kind.FLEET, listeners.config, WATCH, RETRY_MOST, changed=changed
+            store, Kind.FLEET, listeners.config, WATCH_S, MAX_RETRY_S, changed=changed
         ),
         Kind.UPSTREAM: Watcher(
             store,
             Kind.UPSTREAM,
             listeners.upstreams.update,
-            WATCH,
-            RETRY_MOST,
-            listeners.upstreams.away,
-            COALESCE,
+            WATCH_S,
+            MAX_RETRY_S,
+            listeners.upstreams.store_unavailable,
+            UPSTREAM_WATCH_PAUSE_S,
             changed,
         ),
         Kind.ENTRY: Watcher(
             store,
             Kind.ENTRY,
             listeners.entries,
-            retry_most=RETRY_MOST,
-            pause=ENTRIES_PAUSE,
+            retry_most=MAX_RETRY_S,
+            pause=ENTRY_WATCH_PAUSE_S,
             changed=changed,
         ),
         Kind.BLOCKED: Watcher(
             store,
             Kind.BLOCKED,
             listeners.blocked,
-            BLOCKED_WATCH,
-            RETRY_MOST,
+            BLOCKED_WATCH_S,
+            MAX_RETRY_S,
             changed=changed,
         ),
     }
--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -3,8 +3,8 @@
 from returns.result import Failure as Err
 from returns.result import Success
 
-from persimmonhitch.direct.desk import Desk, Engine
 from persimmonhitch.direct.engine_client import Outcome
+from persimmonhitch.direct.engine_controller import EngineController, EngineState
 from persimmonhitch.fleet.config import EngineSpec, ModelSpec
 from persimmonhitch.fleet.upstream import Holding, UpstreamRecord
 from persimmonhitch.ids import Adapter, Epoch, Model, Service, Upstream, Zone
@@ -146,11 +146,11 @@
 def desk_of(engine, clock, in_use=lambda *_: False, epoch=lambda: Epoch(1)):
     """Return a desk for an engine, and what it published."""
     told = []
-    desk = Desk(
-        Engine(engine.record, SPEC),
+    desk = EngineController(
+        EngineState(engine.record, SPEC),
         engine,
         epoch,
-        lambda d: told.append((clock(), sorted(d.engine.holding.models))),
+        lambda d: told.append((clock(), sorted(d.engine.inventory.models))),
         in_use,
         clock,
         clock.sleep,
--- a/tests/test_direct_desk.py
+++ b/tests/test_direct_desk.py
@@ -3,7 +3,7 @@
 import pytest
 from fake_engine import Clock, FakeEngine, desk_of
 
-from persimmonhitch.direct.desk import ADAPTER_TURN
+from persimmonhitch.direct.engine_controller import ADAPTER_WINDOW_S
 from persimmonhitch.ids import Adapter, Model
 
 BIG, OTHER, SMALL = Model("big"), Model("other"), Model("small")
@@ -18,12 +18,12 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
-    desk, _told = desk_of(engine, clock)
-    desk.refresh()
-    desk.free_from = clock() + 3.0
-    assert not desk.fetch(BIG, Adapter("a3"))
+    controller, _published = desk_of(engine, clock)
+    controller.refresh()
+    controller.orders_allowed_at = clock() + 3.0
+    assert not controller.load_adapter(BIG, Adapter("a3"))
     clock.now += 4.0
-    assert desk.fetch(BIG, Adapter("a3"))
+    assert controller.load_adapter(BIG, Adapter("a3"))
     assert engine.overfull == []
     assert len(engine.models[BIG]) == 2
 
@@ -34,28 +34,28 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1",))
-    desk, _told = desk_of(engine, clock)
+    controller, _published = desk_of(engine, clock)
     engine.lose_answers = 1
-    assert desk.fetch(BIG, Adapter("a3"))
+    assert controller.load_adapter(BIG, Adapter("a3"))
     engine.run_late()
     assert engine.overfull == []
     assert engine.models[BIG] == {"a1", "a3"}
 
 
 @pytest.mark.parametrize(
-    ("held", "model", "victims", "after"),
+    ("held", "model", "evictions", "after"),
     [
         (("big",), OTHER, (), {"big", "other"}),
         (("big", "other"), SMALL, (), {"big", "other", "small"}),
         (("big", "other", "small"), OTHER, (), {"big", "other", "small"}),
     ],
 )
-def test_models_are_loaded_where_there_is_room(held, model, victims, after):
+def test_models_are_loaded_where_there_is_room(held, model, evictions, after):
     clock = Clock()
     engine = FakeEngine(clock, models=held)
-    desk, _told = desk_of(engine, clock)
-    desk.refresh()
-    desk.load(model, victims, 1.7)
+    controller, _published = desk_of(engine, clock)
+    controller.refresh()
+    controller.load_model(model, evictions, 1.7)
     assert set(engine.models) == after
     assert engine.overfull == []
 
@@ -63,9 +63,9 @@
 def test_a_victim_leaves_before_the_load_and_is_told_first():
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    desk, _told = desk_of(engine, clock)
-    desk.refresh()
-    desk.load(SMALL, (BIG,), 1.7)
+    controller, _published = desk_of(engine, clock)
+    controller.refresh()
+    controller.load_model(SMALL, (BIG,), 1.7)
     assert set(engine.models) == {"other", "small"}
     assert [order.load for order, _ in engine.log] == [False, True]
 
@@ -77,12 +77,12 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    desk, told = desk_of(engine, clock)
-    desk.refresh()
-    began = clock()
-    desk.load(SMALL, (BIG,), 1.7)
-    serves_at = next(at for at, models in told if "small" in models)
-    assert serves_at - began < 1.7 + 0.1
+    controller, published = desk_of(engine, clock)
+    controller.refresh()
+    started_at = clock()
+    controller.load_model(SMALL, (BIG,), 1.7)
+    serves_at = next(at for at, models in published if "small" in models)
+    assert serves_at - started_at < 1.7 + 0.1
 
 
 def test_a_load_from_the_weight_store_counts_when_it_is_seen():
@@ -91,13 +91,13 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    desk, told = desk_of(engine, clock)
-    desk.refresh()
+    controller, published = desk_of(engine, clock)
+    controller.refresh()
     engine.load_time = 12.0
-    began = clock()
-    desk.load(SMALL, (BIG,), 8.0)
-    serves_at = next(at for at, models in told if "small" in models)
-    assert serves_at - began > 12.0
+    started_at = clock()
+    controller.load_model(SMALL, (BIG,), 8.0)
+    serves_at = next(at for at, models in published if "small" in models)
+    assert serves_at - started_at > 12.0
 
 
 def test_a_call_that_nobody_told_of_holds_back_the_load():
@@ -108,13 +108,13 @@
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
     engine.running = {BIG}
-    desk, _told = desk_of(engine, clock)
-    desk.refresh()
-    desk.load(SMALL, (BIG,), 1.7)
+    controller, _published = desk_of(engine, clock)
+    controller.refresh()
+    controller.load_model(SMALL, (BIG,), 1.7)
     assert set(engine.models) == {"big", "other"}
     engine.end_runs()
-    desk.refresh()
-    desk.load(SMALL, (), 1.7)
+    controller.refresh()
+    controller.load_model(SMALL, (), 1.7)
     assert set(engine.models) == {"other", "small"}
     assert engine.overfull == []
 
@@ -123,10 +123,10 @@
     """The plan counted on room that another load has taken meanwhile."""
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other", "small"))
-    desk, _told = desk_of(engine, clock)
-    desk.refresh()
+    controller, _published = desk_of(engine, clock)
+    controller.refresh()
     engine.models.pop(SMALL)
-    desk.load(SMALL, (), 1.7)
+    controller.load_model(SMALL, (), 1.7)
     assert engine.overfull == []
 
 
@@ -136,8 +136,8 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
-    desk, _told = desk_of(engine, clock, in_use=lambda *_: True)
-    assert not desk.fetch(BIG, Adapter("a3"))
+    controller, _published = desk_of(engine, clock, in_use=lambda *_: True)
+    assert not controller.load_adapter(BIG, Adapter("a3"))
     assert engine.models[BIG] == {"a1", "a2"}
 
 
@@ -150,13 +150,16 @@
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
     engine.running = {"a1", "a2"}
-    desk, _told = desk_of(engine, clock)
+    controller, _published = desk_of(engine, clock)
     for _ in range(8):
-        assert not desk.fetch(BIG, Adapter("a3"))
+        assert not controller.load_adapter(BIG, Adapter("a3"))
         clock.now += 0.25
     assert engine.overfull == []
     engine.end_runs()
-    assert any(desk.fetch(BIG, Adapter("a3")) or clock.sleep(0.25) for _ in range(4))
+    assert any(
+        controller.load_adapter(BIG, Adapter("a3")) or clock.sleep(0.25)
+        for _ in range(4)
+    )
     assert engine.overfull == []
     assert "a3" in engine.models[BIG]
 
@@ -166,9 +169,9 @@
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
     engine.running = {"a1", "a2"}
-    desk, _told = desk_of(engine, clock)
+    controller, _published = desk_of(engine, clock)
     for _ in range(8):
-        desk.fetch(BIG, Adapter("a3"))
+        controller.load_adapter(BIG, Adapter("a3"))
         clock.now += 0.25
     assert [order.load for order, _ in engine.log] == [False]
 
@@ -177,10 +180,10 @@
     """Guards against adapters that are refused while an engine loads model on model."""
     clock = Clock()
     engine = FakeEngine(clock)
-    desk, _told = desk_of(engine, clock)
-    desk.refresh()
-    desk.load(SMALL, (), 1.7)
-    assert 0.0 < desk.busy_for() <= ADAPTER_TURN
-    assert desk.fetch(BIG, Adapter("a1"))
-    clock.now += ADAPTER_TURN
-    assert desk.busy_for() == 0.0
+    controller, _published = desk_of(engine, clock)
+    controller.refresh()
+    controller.load_model(SMALL, (), 1.7)
+    assert 0.0 < controller.busy_for() <= ADAPTER_WINDOW_S
+    assert controller.load_adapter(BIG, Adapter("a1"))
+    clock.now += ADAPTER_WINDOW_S
+    assert controller.busy_for() == 0.0
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -25,16 +25,16 @@
 )
 
 LLM, BIG, SMALL = Service("llm"), Model("big"), Model("small")
-READS = 20_000.0
+READ_RATE = 20_000.0
 CFG = FleetConfig(
     ConfigVersion(1), services={LLM: ServiceSpec(LLM, "/health", 100, SPEC)}
 )
 
 
-class Held:
+class StubElection:
     """A lease that this entry holds."""
 
-    before = None
+    predecessor = None
 
     def start(self):
         pass
@@ -45,7 +45,7 @@
     def epoch(self):
         return Epoch(1)
 
-    def free_from(self, _upstream, _began_at):
+    def orders_allowed_at(self, _upstream, _leading_since):
         return 0.0
 
 
@@ -59,78 +59,78 @@
 
 
 def record(name="e1"):
-    held = Holding(ORDERS_UNKNOWN, {BIG: frozenset()})
+    inventory = Holding(ORDERS_UNKNOWN, {BIG: frozenset()})
     return UpstreamRecord(
-        Upstream(name), LLM, "10.0.0.1", 80, Zone("z1"), 64, False, 1, held
+        Upstream(name), LLM, "10.0.0.1", 80, Zone("z1"), 64, False, 1, inventory
     )
 
 
-def news(asked, running=()):
+def entry_update(asked, running=()):
     return NodeNews({}, asked, running)
 
 
 @contextmanager
-def holder(upstreams=("e1",)):
+def started_leader(upstreams=("e1",)):
     """Return a holder that looks at what is to be loaded only when it is told to."""
-    made = Leader(
+    leader = Leader(
         Vm("a"),
-        lambda _last: Held(),
+        lambda _last: StubElection(),
         lambda _msg: None,
-        lambda _s: READS,
+        lambda _s: READ_RATE,
         no_limits(),
     )
-    made._client = FakeEngine(Clock(), models=("big",))
-    made._client.on_disk = {SMALL}
-    made.configure(CFG)
-    made.update([record(name) for name in upstreams])
-    made.round()
-    wait_for(lambda: not made._refreshing, "the engines' state to be learned")
-    made.start()
-    yield made
-    made.stop()
+    leader._client = FakeEngine(Clock(), models=("big",))
+    leader._client.on_disk = {SMALL}
+    leader.configure(CFG)
+    leader.update_upstreams([record(name) for name in upstreams])
+    leader.run_round()
+    wait_for(lambda: not leader._refreshing, "the engines' state to be learned")
+    leader.start()
+    yield leader
+    leader.stop()
 
 
 @pytest.fixture(autouse=True)
-def _no_period(monkeypatch):
-    monkeypatch.setattr(leader_module, "PERIOD", 60.0)
+def _no_periodic_rounds(monkeypatch):
+    monkeypatch.setattr(leader_module, "ROUND_INTERVAL_S", 60.0)
 
 
 @pytest.fixture
-def held():
-    with holder() as made:
-        yield made
+def leader():
+    with started_leader() as running:
+        yield running
 
 
-def test_a_model_that_callers_wait_for_is_ordered_at_their_word(held):
+def test_a_model_that_callers_wait_for_is_ordered_at_their_word(leader):
     """Calls come for a model that no engine has, and wait for half a second for the
     word that it is being loaded. A look at what is asked that comes by its period only
     takes a good part of that from them.
     """
-    held.hear_node(Vm("b"), news({SMALL: 9000.0}))
-    held.hear_want(Vm("b"), Want(SMALL, None, None))
-    engine = held._client
+    leader.receive_entry_update(Vm("b"), entry_update({SMALL: 9000.0}))
+    leader.receive_load_request(Vm("b"), Want(SMALL, None, None))
+    engine = leader._client
     wait_for(lambda: any(o.model == SMALL for o, _ in engine.log), "the order")
 
 
 def test_adapters_do_not_wait_for_loads_of_models(monkeypatch):
     """Guards against adapters refused for seconds while many engines load models."""
-    monkeypatch.setattr(leader_module, "WORKERS", 1)
-    with holder(("e1", "e2")) as made:
-        engine = made._client
+    monkeypatch.setattr(leader_module, "MAX_WORKERS", 1)
+    with started_leader(("e1", "e2")) as leader:
+        engine = leader._client
         engine.load_time = math.inf
-        made.hear_node(Vm("b"), news({SMALL: 9000.0}))
-        made.hear_want(Vm("b"), Want(SMALL, None, None))
+        leader.receive_entry_update(Vm("b"), entry_update({SMALL: 9000.0}))
+        leader.receive_load_request(Vm("b"), Want(SMALL, None, None))
         wait_for(lambda: any(o.model == SMALL for o, _ in engine.log), "the load")
-        loading = made._desks[Upstream("e1")].engine.loading
-        other = Upstream("e1" if loading is None else "e2")
-        made.hear_want(Vm("b"), Want(BIG, Adapter("a1"), other))
+        loading = leader._controllers[Upstream("e1")].engine.loading
+        idle_upstream = Upstream("e1" if loading is None else "e2")
+        leader.receive_load_request(Vm("b"), Want(BIG, Adapter("a1"), idle_upstream))
         wait_for(lambda: any(o.adapter for o, _ in engine.log), "the order", 1.0)
 
 
-def test_what_calls_use_is_known_by_model(held):
+def test_what_calls_use_is_known_by_model(leader):
     """Calls run at an engine that use no adapter. Taken for idle, their model would be
     unloaded first, and the engine would load nothing until they have ended.
     """
     at_e1 = Running(Upstream("e1"), 1, 100, 0, (Use(BIG, None),))
-    held.hear_node(Vm("b"), news({}, (at_e1,)))
-    assert {use.model for use in held._used()[Upstream("e1")]} == {BIG}
+    leader.receive_entry_update(Vm("b"), entry_update({}, (at_e1,)))
+    assert {use.model for use in leader._uses_by_upstream()[Upstream("e1")]} == {BIG}
--- a/tests/test_direct_lease.py
+++ b/tests/test_direct_lease.py
@@ -8,7 +8,7 @@
 from persimmonhitch.standin.store_state import Faults, StoreState
 
 A, B, E1, E2 = Vm("a"), Vm("b"), Upstream("e1"), Upstream("e2")
-GUARD = 3.0
+GUARD_S = 3.0
 
 
 class Clock:
@@ -19,13 +19,13 @@
         return self.now
 
 
-def keepers(duration=1.5):
+def keepers(lease_s=1.5):
     clock, store = Clock(), StoreState()
-    made = [
-        LeaseKeeper(store, "orders", vm, Incarnation(f"i-{vm}"), duration, clock)
+    lease_keepers = [
+        LeaseKeeper(store, "orders", vm, Incarnation(f"i-{vm}"), lease_s, clock)
         for vm in (A, B)
     ]
-    return clock, store, *made
+    return clock, store, *lease_keepers
 
 
 def test_a_holder_that_resigns_is_followed_at_once():
@@ -90,11 +90,11 @@
 def test_a_new_process_on_the_holder_s_vm_takes_over_at_once():
     clock, store, first, _second = keepers()
     first.step()
-    again = LeaseKeeper(store, "orders", A, Incarnation("new"), 1.5, clock)
-    again.step()
-    assert again.epoch() == 2
-    assert again.before.vm == A
-    assert again.before.held_for < GUARD
+    restarted = LeaseKeeper(store, "orders", A, Incarnation("new"), 1.5, clock)
+    restarted.step()
+    assert restarted.epoch() == 2
+    assert restarted.before.vm == A
+    assert restarted.before.held_for < GUARD_S
 
 
 def test_a_release_tells_who_held_the_lease():
@@ -116,31 +116,31 @@
     assert first.before is None
 
 
-def before(vm, held_for=0.0):
+def predecessor(vm, held_for=0.0):
     """Return a predecessor."""
     return Predecessor(vm, Incarnation(f"i-{vm}"), held_for)
 
 
-OLD, YOUNG = 10.0, 1.0
+OLD_PROCESS_S, NEW_PROCESS_S = 10.0, 1.0
 """Seconds since the start of the process that takes the lease."""
 
 
 @pytest.mark.parametrize(
     ("age", "last", "ended", "resigned", "upstream", "wait"),
     [
-        (OLD, None, False, False, E1, 0.0),
-        (OLD, before(B), False, False, E1, GUARD - 1.0),
-        (OLD, before(B), False, False, E2, 0.0),
-        (OLD, before(A), False, False, E2, GUARD),
-        (OLD, before(A), True, False, E1, GUARD - 1.0),
-        (OLD, before(A), True, False, E2, 0.0),
-        (OLD, before(A), False, True, E1, GUARD - 0.5),
-        (OLD, before(A), False, True, E2, 0.0),
-        (YOUNG, None, False, False, E2, 0.0),
-        (YOUNG, before(A), False, True, E2, GUARD - YOUNG),
-        (YOUNG, before(A), True, False, E2, GUARD - YOUNG),
-        (YOUNG, before(B), False, False, E2, GUARD - YOUNG),
-        (YOUNG, before(B, held_for=GUARD), False, False, E2, 0.0),
+        (OLD_PROCESS_S, None, False, False, E1, 0.0),
+        (OLD_PROCESS_S, predecessor(B), False, False, E1, GUARD_S - 1.0),
+        (OLD_PROCESS_S, predecessor(B), False, False, E2, 0.0),
+        (OLD_PROCESS_S, predecessor(A), False, False, E2, GUARD_S),
+        (OLD_PROCESS_S, predecessor(A), True, False, E1, GUARD_S - 1.0),
+        (OLD_PROCESS_S, predecessor(A), True, False, E2, 0.0),
+        (OLD_PROCESS_S, predecessor(A), False, True, E1, GUARD_S - 0.5),
+        (OLD_PROCESS_S, predecessor(A), False, True, E2, 0.0),
+        (NEW_PROCESS_S, None, False, False, E2, 0.0),
+        (NEW_PROCESS_S, predecessor(A), False, True, E2, GUARD_S - NEW_PROCESS_S),
+        (NEW_PROCESS_S, predecessor(A), True, False, E2, GUARD_S - NEW_PROCESS_S),
+        (NEW_PROCESS_S, predecessor(B), False, False, E2, GUARD_S - NEW_PROCESS_S),
+        (NEW_PROCESS_S, predecessor(B, held_for=GUARD_S), False, False, E2, 0.0),
     ],
 )
 def test_when_an_engine_may_be_ordered(age, last, ended, resigned, upstream, wait):
@@ -149,12 +149,12 @@
     process that has just started was told of no order before its start.
     """
     clock = Clock()
-    history = OrderHistory(B, GUARD, clock)
+    history = OrderHistory(B, GUARD_S, clock)
     clock.now += age - 1.0
-    history.hear(A, E1, 4)
+    history.record_orders(A, E1, 4)
     clock.now += 1.0
-    history.hear(A, E1, 4)
+    history.record_orders(A, E1, 4)
     if resigned:
-        history.hear_resigned(A, {E1: 0.5})
-    free = history.free_from(upstream, clock.now, last, ended)
-    assert max(0.0, free - clock.now) == pytest.approx(wait)
+        history.record_release(A, {E1: 0.5})
+    allowed_at = history.orders_allowed_at(upstream, clock.now, last, ended)
+    assert max(0.0, allowed_at - clock.now) == pytest.approx(wait)
--- a/tests/test_peer_work.py
+++ b/tests/test_peer_work.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from persimmonhitch.direct.changes import WHOLE_EVERY, NewsChanges
 from persimmonhitch.direct.news import NodeNews, Running, Use
 from persimmonhitch.direct.peer_work import PEER_NEWS_LIFE, PeerWork
+from persimmonhitch.direct.update_delta import FULL_UPDATE_INTERVAL_S, UpdateDelta
 from persimmonhitch.ids import Account, Model, Upstream, Vm
 
 E1, E2, A, B = Upstream("e1"), Upstream("e2"), Vm("a"), Vm("b")
@@ -60,7 +60,7 @@
 
 def test_changes_that_are_told_amount_to_the_news():
     """Played into sums, changes and wholes give what the last news say."""
-    told, work = NewsChanges(), PeerWork()
+    told, work = UpdateDelta(), PeerWork()
     steps = [
         (at(E1, 1, 10), at(E2, 2)),
         (at(E1, 2, 20), at(E2, 2)),
@@ -69,16 +69,16 @@
     ]
     for number, running in enumerate(steps):
         full = NodeNews({Account("x"): float(number)}, {}, running)
-        work.hear(A, told.take(full, number * 0.2), number * 0.2)
+        work.hear(A, told.compute(full, number * 0.2), number * 0.2)
         sums = {item.upstream: item.requests for item in running}
         assert work.at(E1).requests == sums.get(E1, 0)
         assert work.at(E2).requests == sums[E2]
 
 
 def test_only_what_has_changed_is_told_between_wholes():
-    told = NewsChanges()
+    told = UpdateDelta()
     first = NodeNews({Account("x"): 1.0, Account("y"): 1.0}, {}, (at(E1, 1),))
     second = NodeNews({Account("x"): 1.0, Account("y"): 2.0}, {}, (at(E1, 1),))
-    assert told.take(first, 0.0) is first
-    assert told.take(second, 0.2) == NodeNews({Account("y"): 2.0}, {}, (), False)
-    assert told.take(second, WHOLE_EVERY + 0.1) is second
+    assert told.compute(first, 0.0) is first
+    assert told.compute(second, 0.2) == NodeNews({Account("y"): 2.0}, {}, (), False)
+    assert told.compute(second, FULL_UPDATE_INTERVAL_S + 0.1) is second
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -65,9 +65,9 @@
         super().__init__(*args)
         self.begun = []
 
-    def _begin_load(self, desk, move, demand):
+    def _start_load(self, desk, move, demand):
         desk.engine.loading = move.model
-        desk.engine.leaving = frozenset(move.victims)
+        desk.engine.evicting = frozenset(move.victims)
         desk.engine.ready_at = self._clock() + move.takes
         self.begun.append((desk, move))
 
@@ -109,10 +109,10 @@
             )
             for n in range(self.engines)
         }
-        self.leader.update([self._record(name) for name in self.holdings])
-        self.leader.round()
+        self.leader.update_upstreams([self._record(name) for name in self.holdings])
+        self.leader.run_round()
         wait_for(
-            lambda: all(d.engine.holding for d in self.leader._desks.values()),
+            lambda: all(d.engine.inventory for d in self.leader._controllers.values()),
             "the engines' state to be learned",
         )
         self.began_at = self.clock.now
@@ -126,7 +126,9 @@
 
     def drain(self, name):
         """Have an engine tell that it is leaving."""
-        self.leader.update([self._record(n, n == name) for n in self.holdings])
+        self.leader.update_upstreams(
+            [self._record(n, n == name) for n in self.holdings]
+        )
 
     def run(self, seconds):
         """Play some seconds; return the models whose calls found an engine."""
@@ -138,27 +140,27 @@
                 if caller.call(passed) and self._is_held(caller.model):
                     self.served.add(caller.model)
             asked = {caller.model: caller.asked for caller in self.callers}
-            self.leader.hear_node(Vm("b"), NodeNews({}, asked, ()))
+            self.leader.receive_entry_update(Vm("b"), NodeNews({}, asked, ()))
             self._end_loads()
-            self.leader.round()
+            self.leader.run_round()
         return self.served
 
     def _is_held(self, model):
-        desks = self.leader._desks.values()
-        return any(model in desk.engine.holding.models for desk in desks)
+        desks = self.leader._controllers.values()
+        return any(model in desk.engine.inventory.models for desk in desks)
 
     def _end_loads(self):
         for desk, move in self.leader.begun:
             engine = desk.engine
             if engine.loading != move.model or self.clock.now < engine.ready_at:
                 continue
-            models = {m: frozenset() for m in engine.holding.models}
+            models = {m: frozenset() for m in engine.inventory.models}
             for victim in move.victims:
                 models.pop(victim, None)
             models[move.model] = frozenset()
-            disk = engine.holding.on_disk | frozenset(models)
-            engine.holding = replace(engine.holding, models=models, on_disk=disk)
-            engine.loading, engine.leaving = None, frozenset()
+            disk = engine.inventory.on_disk | frozenset(models)
+            engine.inventory = replace(engine.inventory, models=models, on_disk=disk)
+            engine.loading, engine.evicting = None, frozenset()
             engine.loaded_at[move.model] = self.clock.now
 
 
