--- a/src/persimmonhitch/decide/admission.py
+++ b/src/persimmonhitch/decide/admission.py
@@ -22,18 +22,18 @@
 from ..verdict import ErrorCode, Failure, Verdict
 from ..wire.messages import Priority
 
-TRUST: Final = 0.8
-QUEUE_SECONDS: Final = 30.0
-BATCH_QUEUE_SECONDS: Final = 8 * 3600.0
-LEAST_RETRY: Final = 1.0
-MOST_RETRY: Final = 60.0
-LEAST_RATE: Final = 1.0
-READY_THREADS: Final = 4
+WAIT_ESTIMATE_WEIGHT: Final = 0.8
+MAX_QUEUE_S: Final = 30.0
+MAX_BATCH_QUEUE_S: Final = 8 * 3600.0
+MIN_RETRY_AFTER_S: Final = 1.0
+MAX_RETRY_AFTER_S: Final = 60.0
+MIN_RATE: Final = 1.0
+RESERVED_THREADS: Final = 4
 """Threads of an entry that only answer at once: refusals, health, metrics."""
-LIKELY_OUTPUT: Final = 0.25
+EXPECTED_OUTPUT_SHARE: Final = 0.25
 """Part of the allowed output that a request is sure enough to use."""
-RATE_WINDOW: Final = 1.0
-RATE_NEW: Final = 0.3
+RATE_WINDOW_S: Final = 1.0
+EWMA_WEIGHT: Final = 0.3
 """Weight of the newest window in the service rate."""
 
 
@@ -54,57 +54,57 @@
         Requests that run, and how many may.
     """
 
-    ahead: float
+    backlog: float
     rate: float
-    first_token: float = 0.0
+    first_token_s: float = 0.0
     running: int = 0
     limit: int = 1
 
     @property
-    def wait(self) -> float:
+    def wait_s(self) -> float:
         """Return the seconds that a new request is predicted to wait."""
-        if self.rate <= 0.0 or (self.ahead <= 0.0 and self.running < self.limit):
+        if self.rate <= 0.0 or (self.backlog <= 0.0 and self.running < self.limit):
             return 0.0
-        return self.ahead / max(self.rate, LEAST_RATE)
+        return self.backlog / max(self.rate, MIN_RATE)
 
 
 @dataclass(frozen=True)
 class Admitted:
     """A request is let in; ``wait`` is the predicted wait in seconds."""
 
-    wait: float
+    wait_s: float
 
 
-def queue_bound(rate: float, priority: Priority = Priority.INTERACTIVE) -> float:
+def max_queue_tokens(rate: float, priority: Priority = Priority.INTERACTIVE) -> float:
     """Return how many tokens may wait at an upstream that serves at ``rate``."""
-    batch = priority is Priority.BATCH
-    seconds = BATCH_QUEUE_SECONDS if batch else QUEUE_SECONDS
-    return max(rate, LEAST_RATE) * seconds
+    is_batch = priority is Priority.BATCH
+    max_wait_s = MAX_BATCH_QUEUE_S if is_batch else MAX_QUEUE_S
+    return max(rate, MIN_RATE) * max_wait_s
 
 
-def retry_after(excess: float) -> float:
+def retry_after(excess_s: float) -> float:
     """Return when to come back, for a wait that is ``excess`` seconds too long."""
-    return min(max(excess, LEAST_RETRY), MOST_RETRY)
+    return min(max(excess_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
 
-def queue_full(tokens: float, rate: float) -> Failure:
+def queue_full_refusal(tokens: float, rate: float) -> Failure:
     """Return the refusal of a request that the full queue can't hold."""
-    back = retry_after(tokens / max(rate, LEAST_RATE))
-    return _refusal(ErrorCode.OVERLOADED, "the queue is full", back)
+    retry_s = retry_after(tokens / max(rate, MIN_RATE))
+    return _refusal(ErrorCode.OVERLOADED, "the queue is full", retry_s)
 
 
-def expired(tokens: float, rate: float) -> Failure:
+def deadline_refusal(tokens: float, rate: float) -> Failure:
     """Return the refusal of a request whose time ran out in the queue."""
-    back = retry_after(tokens / max(rate, LEAST_RATE))
-    return _refusal(ErrorCode.DEADLINE, "the deadline passed in the queue", back)
+    retry_s = retry_after(tokens / max(rate, MIN_RATE))
+    return _refusal(ErrorCode.DEADLINE, "the deadline passed in the queue", retry_s)
 
 
 def admit(
     view: LoadView,
     cost: float,
-    deadline_left: float,
+    remaining_s: float,
     priority: Priority,
-    needs: float = 0.0,
+    service_s: float = 0.0,
 ) -> Result[Admitted, Failure]:
     """Decide whether a request is let in.
 
@@ -121,27 +121,27 @@
     needs : float
         Seconds of service it needs once started, 0 when unknown.
     """
-    if deadline_left <= needs:
+    if remaining_s <= service_s:
         return Err(_refusal(ErrorCode.DEADLINE, "too little time left", None))
-    wait = view.wait
-    longest = deadline_left - needs - view.first_token
-    if TRUST * wait > max(longest, 0.0):
-        back = retry_after(TRUST * wait - longest)
-        return Err(_refusal(ErrorCode.OVERLOADED, "can't finish in time", back))
-    bound = queue_bound(view.rate, priority)
-    if view.rate > 0.0 and view.ahead > 0.0 and view.ahead + cost > bound:
-        back = retry_after((view.ahead + cost - bound) / view.rate)
-        return Err(_refusal(ErrorCode.OVERLOADED, "queue is full", back))
-    return Success(Admitted(wait))
+    wait_s = view.wait_s
+    max_wait_s = remaining_s - service_s - view.first_token_s
+    if WAIT_ESTIMATE_WEIGHT * wait_s > max(max_wait_s, 0.0):
+        retry_s = retry_after(WAIT_ESTIMATE_WEIGHT * wait_s - max_wait_s)
+        return Err(_refusal(ErrorCode.OVERLOADED, "can't finish in time", retry_s))
+    max_tokens = max_queue_tokens(view.rate, priority)
+    if view.rate > 0.0 and view.backlog > 0.0 and view.backlog + cost > max_tokens:
+        retry_s = retry_after((view.backlog + cost - max_tokens) / view.rate)
+        return Err(_refusal(ErrorCode.OVERLOADED, "queue is full", retry_s))
+    return Success(Admitted(wait_s))
 
 
-def _refusal(code: ErrorCode, message: str, back: float | None) -> Failure:
-    return Failure(code, message, Verdict.NOT_RUN, back)
+def _refusal(code: ErrorCode, message: str, retry_s: float | None) -> Failure:
+    return Failure(code, message, Verdict.NOT_RUN, retry_s)
 
 
-def likely_service(first_token: float, gap: float, most_output: float) -> float:
+def expected_service(first_token_s: float, gap_s: float, max_output: float) -> float:
     """Return the seconds of service that a request is expected to need."""
-    return first_token + gap * LIKELY_OUTPUT * most_output
+    return first_token_s + gap_s * EXPECTED_OUTPUT_SHARE * max_output
 
 
 class ServiceRate:
@@ -153,36 +153,36 @@
 
     def __init__(self) -> None:
         self.rate = 0.0
-        self._since: float | None = None
-        self._served = 0.0
+        self._window_start: float | None = None
+        self._window_tokens = 0.0
 
     def on_start(self, now: float, cost: float, waiting: int) -> None:
         """Note a request that leaves the queue, and how many wait behind it."""
         if waiting == 0:
-            self._since = None
+            self._window_start = None
             return
-        if self._since is None:
-            self._since = now
-            self._served = 0.0
+        if self._window_start is None:
+            self._window_start = now
+            self._window_tokens = 0.0
             return
-        self._served += cost
-        elapsed = now - self._since
-        if elapsed < RATE_WINDOW:
+        self._window_tokens += cost
+        elapsed_s = now - self._window_start
+        if elapsed_s < RATE_WINDOW_S:
             return
-        seen = self._served / elapsed
-        new = RATE_NEW if self.rate > 0.0 else 1.0
-        self.rate += new * (seen - self.rate)
-        self._since = now
-        self._served = 0.0
+        measured = self._window_tokens / elapsed_s
+        weight = EWMA_WEIGHT if self.rate > 0.0 else 1.0
+        self.rate += weight * (measured - self.rate)
+        self._window_start = now
+        self._window_tokens = 0.0
 
 
-def connections_full(open_requests: int, most: int) -> Failure | None:
+def connections_refusal(open_requests: int, max_requests: int) -> Failure | None:
     """Return the refusal of a request that an entry has no thread to wait with.
 
     Threads for ``READY_THREADS`` requests are kept: with all of them held by long
     streams, callers would wait unseen in the listener's backlog, and the balancer's
     look at readiness with them, until it took a healthy entry for dead.
     """
-    if open_requests <= most - READY_THREADS:
+    if open_requests <= max_requests - RESERVED_THREADS:
         return None
-    return _refusal(ErrorCode.OVERLOADED, "all connections are busy", LEAST_RETRY)
+    return _refusal(ErrorCode.OVERLOADED, "all connections are busy", MIN_RETRY_AFTER_S)
--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-LEAST_SAMPLES: Final = 40
+MIN_SAMPLES: Final = 40
 PERCENTILE: Final = 0.95
 
 
 @dataclass(frozen=True)
-class Aims:
+class LatencyTargets:
     """What callers are promised, for 95 in 100.
 
     Attributes
@@ -31,36 +31,36 @@
         Seconds between tokens.
     """
 
-    first_token: float = 0.75
-    gap: float = 0.054
+    first_token_s: float = 0.75
+    token_gap_s: float = 0.054
 
 
 @dataclass(frozen=True)
 class LimitRange:
     """Bounds and step sizes of a concurrency limit."""
 
-    least: int = 8
-    start: int = 24
-    most: int = 256
-    window: float = 0.5
-    fall: float = 0.9
-    error_fall: float = 0.7
-    full: float = 1.0
+    minimum: int = 8
+    initial: int = 24
+    maximum: int = 256
+    window_s: float = 0.5
+    decrease: float = 0.9
+    error_decrease: float = 0.7
+    decrease_above: float = 1.0
     """Part of an aim above which the limit falls."""
-    headroom: float = 0.95
+    increase_below: float = 0.95
     """Part of an aim below which there is room to rise."""
 
 
-AIMS: Final = Aims()
-RANGE: Final = LimitRange()
+LATENCY_TARGETS: Final = LatencyTargets()
+LIMIT_RANGE: Final = LimitRange()
 
 
-def percentile(samples: list[float], part: float = PERCENTILE) -> float:
+def percentile(samples: list[float], fraction: float = PERCENTILE) -> float:
     """Return the value below which ``part`` of the samples lie; 0 for none."""
     if not samples:
         return 0.0
     ranked = sorted(samples)
-    return ranked[min(len(ranked) - 1, int(part * len(ranked)))]
+    return ranked[min(len(ranked) - 1, int(fraction * len(ranked)))]
 
 
 class ConcurrencyLimit:
@@ -74,16 +74,20 @@
         Bounds and step sizes.
     """
 
-    def __init__(self, aims: Aims = AIMS, bounds: LimitRange = RANGE) -> None:
-        self._aims = aims
+    def __init__(
+        self,
+        targets: LatencyTargets = LATENCY_TARGETS,
+        bounds: LimitRange = LIMIT_RANGE,
+    ) -> None:
+        self._targets = targets
         self._bounds = bounds
-        self._limit = float(bounds.start)
-        self._starting = True
-        self._window_from = 0.0
+        self._limit = float(bounds.initial)
+        self._slow_start = True
+        self._window_start = 0.0
         self._running = 0
         self._peak = 0
-        self._gaps: list[float] = []
-        self._firsts: list[float] = []
+        self._token_gaps: list[float] = []
+        self._first_tokens: list[float] = []
         self.first_token_p95 = 0.0
         self.gap_p95 = 0.0
 
@@ -99,61 +103,61 @@
 
     def on_first_token(self, now: float, seconds: float) -> None:
         """Note a time to the first token, measured from the upstream's start."""
-        self._firsts.append(seconds)
-        self._maybe_adjust(now)
+        self._first_tokens.append(seconds)
+        self._adjust_if_due(now)
 
     def on_gap(self, now: float, seconds: float) -> None:
         """Note a time between two tokens."""
-        self._gaps.append(seconds)
-        self._maybe_adjust(now)
+        self._token_gaps.append(seconds)
+        self._adjust_if_due(now)
 
     def on_done(self, now: float, running: int) -> None:
         """Note the end of a request, and how many still run."""
         self._running = running
-        self._maybe_adjust(now)
+        self._adjust_if_due(now)
 
     def on_error(self, now: float) -> None:
         """Fall at once when the upstream refuses or fails for want of room."""
-        self._fall(self._bounds.error_fall)
-        self._begin_window(now)
+        self._decrease(self._bounds.error_decrease)
+        self._start_window(now)
 
-    def _maybe_adjust(self, now: float) -> None:
-        if now - self._window_from < self._bounds.window:
+    def _adjust_if_due(self, now: float) -> None:
+        if now - self._window_start < self._bounds.window_s:
             return
-        if len(self._gaps) + len(self._firsts) < LEAST_SAMPLES:
+        if len(self._token_gaps) + len(self._first_tokens) < MIN_SAMPLES:
             return
-        self.gap_p95 = percentile(self._gaps)
-        self.first_token_p95 = percentile(self._firsts)
-        worst = max(
-            self.gap_p95 / self._aims.gap,
-            self.first_token_p95 / self._aims.first_token,
+        self.gap_p95 = percentile(self._token_gaps)
+        self.first_token_p95 = percentile(self._first_tokens)
+        worst_ratio = max(
+            self.gap_p95 / self._targets.token_gap_s,
+            self.first_token_p95 / self._targets.first_token_s,
         )
-        if worst > self._bounds.full:
-            self._fall_once()
-        elif worst <= self._bounds.headroom and self._peak >= self.limit:
-            self._rise()
-        self._begin_window(now)
+        if worst_ratio > self._bounds.decrease_above:
+            self._decrease_if_settled()
+        elif worst_ratio <= self._bounds.increase_below and self._peak >= self.limit:
+            self._increase()
+        self._start_window(now)
 
-    def _rise(self) -> None:
-        step = self._limit if self._starting else 1.0
-        self._limit = min(self._limit + step, float(self._bounds.most))
+    def _increase(self) -> None:
+        step = self._limit if self._slow_start else 1.0
+        self._limit = min(self._limit + step, float(self._bounds.maximum))
 
-    def _fall_once(self) -> None:
+    def _decrease_if_settled(self) -> None:
         # After a fall more run than the limit allows until some have ended, and
         # they are as slow as before. Falling again for them would take the limit
         # down to one, and callers would queue before an engine with room.
         if self._running <= self.limit:
-            self._fall(self._bounds.fall)
+            self._decrease(self._bounds.decrease)
 
-    def _fall(self, factor: float) -> None:
-        self._starting = False
+    def _decrease(self, factor: float) -> None:
+        self._slow_start = False
         # Fall from what ran, or an idle time at a high limit would have to be
         # walked down step by step while callers wait on slow streams.
-        in_use = min(self._limit, float(max(self._peak, self._bounds.least)))
-        self._limit = max(in_use * factor, float(self._bounds.least))
+        in_use = min(self._limit, float(max(self._peak, self._bounds.minimum)))
+        self._limit = max(in_use * factor, float(self._bounds.minimum))
 
-    def _begin_window(self, now: float) -> None:
-        self._window_from = now
+    def _start_window(self, now: float) -> None:
+        self._window_start = now
         self._peak = self._running
-        self._gaps.clear()
-        self._firsts.clear()
+        self._token_gaps.clear()
+        self._first_tokens.clear()
--- a/src/persimmonhitch/decide/copy_count.py
+++ b/src/persimmonhitch/decide/copy_count.py
@@ -25,30 +25,30 @@
 
 from ..ids import Model
 
-RISE: Final = 15.0
-FALL: Final = 900.0
-FILL: Final = 0.7
-FILL_AFTER: Final = 0.5
-HOLD: Final = 120.0
-POPULAR: Final = 0.3
+RISE_S: Final = 15.0
+FALL_S: Final = 900.0
+TARGET_LOAD: Final = 0.7
+REMOVAL_LOAD: Final = 0.5
+REMOVAL_WAIT_S: Final = 120.0
+SPARE_LOAD: Final = 0.3
 
 
 @dataclass
-class DemandTrack:
+class SmoothedDemand:
     """Demand for one model in tokens a second, fast up and slow down."""
 
     value: float = 0.0
-    _last: float | None = None
+    _updated_at: float | None = None
 
-    def update(self, asked: float, now: float) -> float:
+    def update(self, sample: float, now: float) -> float:
         """Take what was asked for in the last period; return the smoothed demand."""
-        if self._last is None:
-            self.value = asked
+        if self._updated_at is None:
+            self.value = sample
         else:
-            elapsed = max(0.0, now - self._last)
-            time_constant = RISE if asked > self.value else FALL
-            self.value += (asked - self.value) * -math.expm1(-elapsed / time_constant)
-        self._last = now
+            elapsed = max(0.0, now - self._updated_at)
+            time_constant = RISE_S if sample > self.value else FALL_S
+            self.value += (sample - self.value) * -math.expm1(-elapsed / time_constant)
+        self._updated_at = now
         return self.value
 
 
@@ -57,46 +57,46 @@
     """Copies wanted of one model; rises at once, falls one by one."""
 
     wanted: int = 1
-    least: int = 1
+    floor: int = 1
     """Copies without the spare and without waiting for the demand to come back."""
-    _fell_at: float = field(default=-math.inf)
+    _changed_at: float = field(default=-math.inf)
 
-    def update(self, demand: float, speed: float, now: float) -> int:
+    def update(self, demand: float, rate: float, now: float) -> int:
         """Return the copies wanted, where one upstream gives ``speed`` tokens/s."""
-        spare = 1 if demand >= POPULAR * speed else 0
-        self.least = copies_for(demand, speed * FILL)
-        enough = copies_for(demand, speed * FILL_AFTER) + spare
-        if self.least + spare >= self.wanted:
-            self.wanted = self.least + spare
-            self._fell_at = now
-        elif enough < self.wanted and now - self._fell_at >= HOLD:
+        spare = 1 if demand >= SPARE_LOAD * rate else 0
+        self.floor = copies_for(demand, rate * TARGET_LOAD)
+        kept = copies_for(demand, rate * REMOVAL_LOAD) + spare
+        if self.floor + spare >= self.wanted:
+            self.wanted = self.floor + spare
+            self._changed_at = now
+        elif kept < self.wanted and now - self._changed_at >= REMOVAL_WAIT_S:
             self.wanted -= 1
-            self._fell_at = now
+            self._changed_at = now
         return self.wanted
 
 
-def copies_for(demand: float, share: float) -> int:
+def copies_for(demand: float, per_copy: float) -> int:
     """Return how many copies carry ``demand`` at ``share`` each; at least one."""
-    return max(1, math.ceil(demand / share - 1e-9))
+    return max(1, math.ceil(demand / per_copy - 1e-9))
 
 
 @dataclass
 class CopyCounts:
     """Demand and copies wanted of all models."""
 
-    speed: float
-    _tracks: dict[Model, DemandTrack] = field(default_factory=dict)
+    rate: float
+    _demands: dict[Model, SmoothedDemand] = field(default_factory=dict)
     _counts: dict[Model, CopyCount] = field(default_factory=dict)
 
-    def demand(self, asked: dict[Model, float], now: float) -> dict[Model, float]:
+    def smooth(self, samples: dict[Model, float], now: float) -> dict[Model, float]:
         """Return the smoothed demand of each model asked about."""
-        tracks = self._tracks
+        demands = self._demands
         return {
-            model: tracks.setdefault(model, DemandTrack()).update(value, now)
-            for model, value in asked.items()
+            model: demands.setdefault(model, SmoothedDemand()).update(value, now)
+            for model, value in samples.items()
         }
 
-    def wanted(
+    def update(
         self, demand: dict[Model, float], bases: dict[Model, Model], now: float
     ) -> dict[Model, CopyCount]:
         """Return the copies wanted; a base carries its adapters' demand too."""
@@ -105,5 +105,5 @@
             total[base] = total.get(base, 0.0) + demand.get(adapter, 0.0)
         for model, value in total.items():
             count = self._counts.setdefault(model, CopyCount())
-            count.update(value, self.speed, now)
+            count.update(value, self.rate, now)
         return {model: self._counts[model] for model in total}
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -21,19 +21,19 @@
 from ..ids import Account, RequestId
 from ..wire.messages import Priority
 
-URGENT_SHARE: Final = 0.25
+URGENT_FRACTION: Final = 0.25
 """Part of a batch request's time, at its end, in which it competes as interactive."""
-START_MARGIN: Final = 0.2
+FIRST_TOKEN_MARGIN_S: Final = 0.2
 """Seconds of it that the upstream itself takes."""
-LEAD: Final = 1500.0
+MAX_LEAD_TOKENS: Final = 1500.0
 """Tokens by which an account may be ahead of its share for a request in time."""
-LEAST_WEIGHT: Final = 1e-3
-FIRST_TOKEN_AIM: Final = 0.75
+MIN_WEIGHT: Final = 1e-3
+FIRST_TOKEN_TARGET_S: Final = 0.75
 """Seconds to the first token that callers are promised for 95 in 100."""
 
 
 @dataclass(frozen=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits for its upstream.
 
     Attributes
@@ -53,138 +53,138 @@
     cost: float
     deadline_at: float
     arrived_at: float
-    needs: float = 0.0
+    service_s: float = 0.0
 
     @property
     def latest_start(self) -> float:
         """Return the time after which it can no longer finish."""
-        return self.deadline_at - self.needs
+        return self.deadline_at - self.service_s
 
     def is_late(self, now: float) -> bool:
         """Return whether its first token can't come in time any more."""
         if self.priority is Priority.BATCH:
             return False
-        return now - self.arrived_at > FIRST_TOKEN_AIM - START_MARGIN
+        return now - self.arrived_at > FIRST_TOKEN_TARGET_S - FIRST_TOKEN_MARGIN_S
 
     def is_urgent(self, now: float) -> bool:
         """Return whether batch work has to compete as interactive work."""
-        given = self.deadline_at - self.arrived_at
-        return self.latest_start - now <= URGENT_SHARE * given
+        allowed_s = self.deadline_at - self.arrived_at
+        return self.latest_start - now <= URGENT_FRACTION * allowed_s
 
 
 @dataclass
-class _Share:
+class _AccountQueue:
     """Virtual counters and waiting work of one account in one class."""
 
     weight: float
-    served: float
-    items: list[Waiting] = field(default_factory=list)
+    counter: float
+    items: list[QueuedRequest] = field(default_factory=list)
     tokens: float = 0.0
 
 
-class _FairClass:
+class _ClassQueue:
     """Fair queue of one priority class."""
 
     def __init__(self) -> None:
-        self._shares: dict[Account, _Share] = {}
-        self._virtual = 0.0
+        self._queues: dict[Account, _AccountQueue] = {}
+        self._virtual_time = 0.0
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: QueuedRequest) -> None:
         """Add an item; lift the counter of an account that was idle."""
-        weight = max(item.weight, LEAST_WEIGHT)
-        share = self._shares.get(item.account)
-        if share is None:
-            share = _Share(weight, self._virtual)
-            self._shares[item.account] = share
-        if not share.items:
-            share.served = max(share.served, self._virtual)
-        share.weight = weight
-        share.items.append(item)
-        share.tokens += item.cost
-
-    def pick(self, now: float) -> Waiting | None:
+        weight = max(item.weight, MIN_WEIGHT)
+        queue = self._queues.get(item.account)
+        if queue is None:
+            queue = _AccountQueue(weight, self._virtual_time)
+            self._queues[item.account] = queue
+        if not queue.items:
+            queue.counter = max(queue.counter, self._virtual_time)
+        queue.weight = weight
+        queue.items.append(item)
+        queue.tokens += item.cost
+
+    def pick(self, now: float) -> QueuedRequest | None:
         """Return the next item.
 
         It is the one of the account served least, unless that has only requests
         which missed the time to their first token and another, ahead by no more
         than ``LEAD`` tokens, has one that can still make it.
         """
-        busy = [share for share in self._shares.values() if share.items]
+        busy = [queue for queue in self._queues.values() if queue.items]
         if not busy:
             return None
-        least = min(share.served for share in busy)
-        fresh = [
-            share
-            for share in busy
-            if not share.items[-1].is_late(now)
-            and (share.served - least) * share.weight <= LEAD
+        min_counter = min(queue.counter for queue in busy)
+        on_time = [
+            queue
+            for queue in busy
+            if not queue.items[-1].is_late(now)
+            and (queue.counter - min_counter) * queue.weight <= MAX_LEAD_TOKENS
         ]
-        share = min(fresh or busy, key=lambda share: share.served)
-        return min(share.items, key=lambda item: _order(item, now))
+        queue = min(on_time or busy, key=lambda queue: queue.counter)
+        return min(queue.items, key=lambda item: _service_order(item, now))
 
-    def serve(self, item: Waiting) -> None:
+    def serve(self, item: QueuedRequest) -> None:
         """Remove an item and count its cost as served."""
-        share = self._shares[item.account]
+        queue = self._queues[item.account]
         self.drop(item)
-        self._virtual = max(self._virtual, share.served)
-        share.served += item.cost / share.weight
-        self._forget_idle()
+        self._virtual_time = max(self._virtual_time, queue.counter)
+        queue.counter += item.cost / queue.weight
+        self._remove_idle()
 
-    def drop(self, item: Waiting) -> None:
+    def drop(self, item: QueuedRequest) -> None:
         """Remove an item that is not served."""
-        share = self._shares[item.account]
-        share.items.remove(item)
-        share.tokens -= item.cost
+        queue = self._queues[item.account]
+        queue.items.remove(item)
+        queue.tokens -= item.cost
 
     def charge(self, account: Account, tokens: float) -> None:
         """Correct what an account was charged; negative gives back."""
-        share = self._shares.get(account)
-        if share is not None:
-            share.served += tokens / share.weight
+        queue = self._queues.get(account)
+        if queue is not None:
+            queue.counter += tokens / queue.weight
 
-    def ahead(self, account: Account, weight: float) -> float:
+    def backlog(self, account: Account, weight: float) -> float:
         """Return tokens that are served before a new item of the account."""
-        own = self._shares.get(account)
-        weight = max(weight, LEAST_WEIGHT)
+        own = self._queues.get(account)
+        weight = max(weight, MIN_WEIGHT)
         queued = own.tokens if own is not None else 0.0
-        served = own.served if own is not None else self._virtual
-        start = max(served, self._virtual) + queued / weight
+        served = own.counter if own is not None else self._virtual_time
+        start = max(served, self._virtual_time) + queued / weight
         others = (
-            min(share.tokens, max(0.0, start - share.served) * share.weight)
-            for name, share in self._shares.items()
-            if name != account
+            min(queue.tokens, max(0.0, start - queue.counter) * queue.weight)
+            for other, queue in self._queues.items()
+            if other != account
         )
         return queued + sum(others)
 
-    def longest(self) -> Waiting | None:
+    def pick_overflow(self) -> QueuedRequest | None:
         """Return the newest item of the account with most work for its weight."""
-        busy = [share for share in self._shares.values() if share.items]
+        busy = [queue for queue in self._queues.values() if queue.items]
         if not busy:
             return None
-        return max(busy, key=lambda share: share.tokens / share.weight).items[-1]
+        return max(busy, key=lambda queue: queue.tokens / queue.weight).items[-1]
 
-    def _forget_idle(self) -> None:
+    def _remove_idle(self) -> None:
         # Accounts come and go while a sidecar lives for weeks; an idle one whose
         # counter is behind the virtual time would be lifted anyway.
         idle = [
             account
-            for account, share in self._shares.items()
-            if not share.items and share.served <= self._virtual
+            for account, queue in self._queues.items()
+            if not queue.items and queue.counter <= self._virtual_time
         ]
         for account in idle:
-            del self._shares[account]
+            del self._queues[account]
 
-    def __iter__(self) -> Iterator[Waiting]:
-        for share in self._shares.values():
-            yield from share.items
+    def __iter__(self) -> Iterator[QueuedRequest]:
+        for queue in self._queues.values():
+            yield from queue.items
 
 
 class FairQueue:
     """Queue in front of one upstream, fair among client accounts."""
 
     def __init__(self) -> None:
-        self._classes = {priority: _FairClass() for priority in Priority}
-        self._items: dict[RequestId, tuple[Waiting, _FairClass]] = {}
+        self._classes = {priority: _ClassQueue() for priority in Priority}
+        self._items: dict[RequestId, tuple[QueuedRequest, _ClassQueue]] = {}
         self._tokens = 0.0
 
     @property
@@ -195,31 +195,31 @@
     def __len__(self) -> int:
         return len(self._items)
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: QueuedRequest) -> None:
         """Add a request."""
-        self._place(item, self._classes[item.priority])
+        self._add(item, self._classes[item.priority])
         self._tokens += item.cost
 
-    def pop(self, now: float) -> Waiting | None:
+    def pop(self, now: float) -> QueuedRequest | None:
         """Remove and return the next request, and charge its account."""
-        self._promote(now)
+        self._promote_urgent(now)
         for priority in (Priority.INTERACTIVE, Priority.BATCH):
             queue = self._classes[priority]
             item = queue.pick(now)
             if item is not None:
                 queue.serve(item)
-                self._forget(item)
+                self._discard(item)
                 return item
         return None
 
-    def expire(self, now: float) -> tuple[Waiting, ...]:
+    def expire(self, now: float) -> tuple[QueuedRequest, ...]:
         """Remove and return requests that can no longer finish in time."""
-        late = [item for item, _ in self._items.values() if item.latest_start <= now]
-        for item in late:
+        expired = [item for item, _ in self._items.values() if item.latest_start <= now]
+        for item in expired:
             self.remove(item.request)
-        return tuple(late)
+        return tuple(expired)
 
-    def overflow(self, bound: float) -> tuple[Waiting, ...]:
+    def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
         """Remove and return what exceeds ``bound`` tokens.
 
         A plain bound refuses the next caller, whoever filled the queue; an account
@@ -227,17 +227,17 @@
         the account with most work for its weight, newest first and batch before
         interactive, leaves the refusal with the account that caused it.
         """
-        gone = []
-        while self.tokens > bound and len(self) > 1:
+        removed = []
+        while self.tokens > max_tokens and len(self) > 1:
             item = (
-                self._classes[Priority.BATCH].longest()
-                or self._classes[Priority.INTERACTIVE].longest()
+                self._classes[Priority.BATCH].pick_overflow()
+                or self._classes[Priority.INTERACTIVE].pick_overflow()
             )
             if item is None:
                 break
             self.remove(item.request)
-            gone.append(item)
-        return tuple(gone)
+            removed.append(item)
+        return tuple(removed)
 
     def charge(
         self,
@@ -248,44 +248,44 @@
         """Correct an account's counter once the actual use is known."""
         self._classes[priority].charge(account, tokens)
 
-    def remove(self, request: RequestId) -> Waiting | None:
+    def remove(self, request: RequestId) -> QueuedRequest | None:
         """Remove a request whose caller has gone, or return None."""
         if request not in self._items:
             return None
         item, queue = self._items[request]
         queue.drop(item)
-        self._forget(item)
+        self._discard(item)
         return item
 
-    def ahead(
+    def backlog(
         self,
         account: Account,
         weight: float,
         priority: Priority = Priority.INTERACTIVE,
     ) -> float:
         """Return the waiting tokens that go before a new request of an account."""
-        tokens = self._classes[priority].ahead(account, weight)
+        tokens = self._classes[priority].backlog(account, weight)
         if priority is Priority.BATCH:
             urgent = self._classes[Priority.INTERACTIVE]
             tokens += sum(item.cost for item in urgent)
         return tokens
 
-    def _place(self, item: Waiting, queue: _FairClass) -> None:
+    def _add(self, item: QueuedRequest, queue: _ClassQueue) -> None:
         queue.push(item)
         self._items[item.request] = (item, queue)
 
-    def _forget(self, item: Waiting) -> None:
+    def _discard(self, item: QueuedRequest) -> None:
         del self._items[item.request]
         self._tokens -= item.cost
 
-    def _promote(self, now: float) -> None:
+    def _promote_urgent(self, now: float) -> None:
         batch = self._classes[Priority.BATCH]
         for item in [item for item in batch if item.is_urgent(now)]:
             batch.drop(item)
-            self._place(item, self._classes[Priority.INTERACTIVE])
+            self._add(item, self._classes[Priority.INTERACTIVE])
 
 
-def _order(item: Waiting, now: float) -> tuple[bool, float]:
+def _service_order(item: QueuedRequest, now: float) -> tuple[bool, float]:
     """Order within one account: in time for the first token, then by deadline.
 
     Once a request has missed the time to its first token, serving it before one
--- a/src/persimmonhitch/decide/moves.py
+++ b/src/persimmonhitch/decide/moves.py
@@ -6,13 +6,13 @@
 from typing import Final
 
 from ..ids import Model, Upstream
-from .board import Board, Need, PlacedState, Site
+from .targets import CopyPhase, ModelRequirement, PlacementState, PlacementTarget
 
-COOL: Final = 0.5
+RELIEF_TARGET_LOAD: Final = 0.5
 """Part of its speed below which an upstream takes copies for the sake of heat."""
-HEAT_STEP: Final = 0.1
+LOAD_STEP: Final = 0.1
 """Heat, as part of the speed, that counts as equal when a site is chosen."""
-ROUNDING: Final = 1e-6
+EPSILON: Final = 1e-6
 
 
 class Reason(Enum):
@@ -22,7 +22,7 @@
     REVISION = "revision"
     DEMAND = "demand"
     SPARE = "spare"
-    HEAT = "heat"
+    HOTSPOT = "heat"
     MAKE_ROOM = "make_room"
     RETIRED = "retired"
 
@@ -31,7 +31,7 @@
 class Move:
     """One load or unload; ``revision`` is that of the copy moved."""
 
-    load: bool
+    is_load: bool
     model: Model
     upstream: Upstream
     revision: str
@@ -41,63 +41,65 @@
 class MoveList:
     """The moves chosen so far and the board with them applied."""
 
-    def __init__(self, board: Board, speed: float) -> None:
-        self.board = board
-        self.speed = speed
-        self.moves: list[Move] = []
-        self.loads = 0
+    def __init__(self, state: PlacementState, rate: float) -> None:
+        self.state = state
+        self.rate = rate
+        self.items: list[Move] = []
+        self.load_count = 0
 
-    def choose(self, need: Need, reason: Reason) -> Site | None:
+    def choose(self, need: ModelRequirement, reason: Reason) -> PlacementTarget | None:
         """Return the best site with free memory for a load, or None."""
-        zones = self.board.zones(need.model)
-        cold = reason is Reason.UNREACHABLE and need.demand < self.speed * HEAT_STEP
+        zones = self.state.zones(need.model)
+        low_demand = (
+            reason is Reason.UNREACHABLE and need.demand < self.rate * LOAD_STEP
+        )
         best, best_score = None, None
-        for site in self.open_sites(need):
-            free = self.board.free[site.upstream]
-            if free + ROUNDING < need.memory or site.upstream in self.board.claimed:
+        for target in self.eligible(need):
+            free = self.state.free[target.upstream]
+            if free + EPSILON < need.memory or target.upstream in self.state.reserved:
                 continue
-            heat = 0.0 if cold else self._heat_step(site)
-            score = (site.zone in zones, heat, -free)
+            traffic = 0.0 if low_demand else self._traffic_step(target)
+            score = (target.zone in zones, traffic, -free)
             if best_score is None or score < best_score:
-                best, best_score = site, score
+                best, best_score = target, score
         return best
 
-    def _heat_step(self, site: Site) -> float:
-        return self.board.heat[site.upstream] // (self.speed * HEAT_STEP)
+    def _traffic_step(self, target: PlacementTarget) -> float:
+        return self.state.traffic[target.upstream] // (self.rate * LOAD_STEP)
 
-    def open_sites(self, need: Need) -> Iterator[Site]:
+    def eligible(self, need: ModelRequirement) -> Iterator[PlacementTarget]:
         """Yield the sites that may take a copy, whatever their free memory."""
-        for site in self.board.sites.values():
-            if not site.open or site.draining or need.model in site.copies:
+        for target in self.state.targets.values():
+            if not target.accepting or target.draining or need.model in target.copies:
                 continue
-            if site.upstream in self.board.loading[need.model]:
+            if target.upstream in self.state.loading[need.model]:
                 continue
-            if need.base is not None and not self._base_serves(need.base, site):
+            if need.base is not None and not self._base_serves(need.base, target):
                 continue
-            yield site
+            yield target
 
-    def _base_serves(self, base: Model, site: Site) -> bool:
-        placed = site.copies.get(base) or site.old.get(base)
-        if placed is None or placed.state is not PlacedState.SERVING:
+    def _base_serves(self, base: Model, target: PlacementTarget) -> bool:
+        placed = target.copies.get(base) or target.stale.get(base)
+        if placed is None or placed.phase is not CopyPhase.SERVING:
             return False
-        return site.upstream not in self.board.leaving[base]
+        return target.upstream not in self.state.unloading[base]
 
-    def warm(self, site: Site) -> bool:
+    def is_busy(self, target: PlacementTarget) -> bool:
         """Return whether a site has too much work to take a copy for heat."""
-        return self.board.heat[site.upstream] >= self.speed * COOL
+        return self.state.traffic[target.upstream] >= self.rate * RELIEF_TARGET_LOAD
 
-    def by_demand(self, site: Site) -> list[Model]:
+    def by_demand(self, target: PlacementTarget) -> list[Model]:
         """Return the models of a site, the least asked for first."""
-        return sorted(site.copies, key=lambda model: self.board.demand_here(model))
+        return sorted(target.copies, key=lambda model: self.state.copy_demand(model))
 
-    def load(self, need: Need, upstream: Upstream, reason: Reason) -> None:
+    def load(self, need: ModelRequirement, upstream: Upstream, reason: Reason) -> None:
         """Choose a load."""
-        self.board.load(need.model, upstream)
-        self.loads += 1
-        self.moves.append(Move(True, need.model, upstream, need.revision, reason))
+        self.state.load(need.model, upstream)
+        self.load_count += 1
+        self.items.append(Move(True, need.model, upstream, need.revision, reason))
 
     def unload(self, model: Model, upstream: Upstream, reason: Reason) -> None:
         """Choose an unload."""
-        revision = self.board.sites[upstream].copies[model].revision
-        self.board.unload(model, upstream)
-        self.moves.append(Move(False, model, upstream, revision, reason))
+        revision = self.state.targets[upstream].copies[model].revision
+        self.state.unload(model, upstream)
+        self.items.append(Move(False, model, upstream, revision, reason))
--- a/src/persimmonhitch/decide/outliers.py
+++ b/src/persimmonhitch/decide/outliers.py
@@ -22,34 +22,34 @@
 from typing import Final
 
 from ..ids import Model, Upstream
-from .shift import warmup_weight
+from .warmup import warmup_share
 
-SLOW: Final = 2.5
-PROMISED: Final = 0.06
+SLOW_FACTOR: Final = 2.5
+TOKEN_GAP_TARGET_S: Final = 0.06
 """Seconds between tokens up to which an upstream is never an outlier."""
-LEAST_SAMPLES: Final = 8
-WINDOW: Final = 10.0
-MOST_SAMPLES: Final = 64
-MOST_EJECTED: Final = 0.34
-BASE_SECONDS: Final = 10.0
-MOST_SECONDS: Final = 120.0
-RETURN_SECONDS: Final = 10.0
-RETURN_LEAST: Final = 0.1
-FAILURES: Final = 5
+MIN_SAMPLES: Final = 8
+SAMPLE_WINDOW_S: Final = 10.0
+MAX_SAMPLES: Final = 64
+MAX_EJECTED_FRACTION: Final = 0.34
+BASE_EJECTION_S: Final = 10.0
+MAX_EJECTION_S: Final = 120.0
+RETURN_RAMP_S: Final = 10.0
+RETURN_MIN_SHARE: Final = 0.1
+FAILURES_TO_EJECT: Final = 5
 """Failures in a row after which an upstream is ejected."""
 
 
 @dataclass
-class _Seen:
+class _UpstreamStats:
     """What is known of one upstream."""
 
     samples: dict[Model, deque[tuple[float, float]]] = field(default_factory=dict)
     failures: int = 0
     ejected_at: float | None = None
     ejected_until: float = 0.0
-    times: int = 0
+    ejection_count: int = 0
 
-    def is_out(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         return self.ejected_at is not None and now < self.ejected_until
 
 
@@ -62,62 +62,62 @@
         Latency up to which an upstream is never an outlier.
     """
 
-    def __init__(self, promised: float = PROMISED) -> None:
-        self._promised = promised
-        self._seen: dict[Upstream, _Seen] = {}
+    def __init__(self, token_gap_target_s: float = TOKEN_GAP_TARGET_S) -> None:
+        self._token_gap_target_s = token_gap_target_s
+        self._stats: dict[Upstream, _UpstreamStats] = {}
         self._copies: dict[Model, tuple[Upstream, ...]] = {}
 
     def on_latency(
         self, now: float, upstream: Upstream, model: Model, seconds: float
     ) -> None:
         """Note a latency that does not depend on the request's length."""
-        seen = self._seen.setdefault(upstream, _Seen())
-        seen.failures = 0
-        samples = seen.samples.setdefault(model, deque(maxlen=MOST_SAMPLES))
+        stats = self._stats.setdefault(upstream, _UpstreamStats())
+        stats.failures = 0
+        samples = stats.samples.setdefault(model, deque(maxlen=MAX_SAMPLES))
         samples.append((now, seconds))
 
     def on_failure(self, upstream: Upstream) -> None:
         """Note an attempt that the upstream failed."""
-        self._seen.setdefault(upstream, _Seen()).failures += 1
+        self._stats.setdefault(upstream, _UpstreamStats()).failures += 1
 
-    def forget(self, upstream: Upstream) -> None:
+    def remove(self, upstream: Upstream) -> None:
         """Drop an upstream that has left."""
-        self._seen.pop(upstream, None)
+        self._stats.pop(upstream, None)
 
-    def share(self, now: float, upstream: Upstream, model: Model) -> float:
+    def traffic_share(self, now: float, upstream: Upstream, model: Model) -> float:
         """Return the part of a model's usual traffic that an upstream may get."""
         peers = self._copies.get(model, ())
         # Ejecting the only copy would turn slow answers into none.
-        if all(self._is_out(now, peer) for peer in peers):
+        if all(self._is_ejected(now, peer) for peer in peers):
             return 1.0
-        seen = self._seen.get(upstream)
-        if seen is None or seen.ejected_at is None:
+        stats = self._stats.get(upstream)
+        if stats is None or stats.ejected_at is None:
             return 1.0
-        if now < seen.ejected_until:
+        if now < stats.ejected_until:
             return 0.0
-        return warmup_weight(now - seen.ejected_until, RETURN_SECONDS, RETURN_LEAST)
+        return warmup_share(now - stats.ejected_until, RETURN_RAMP_S, RETURN_MIN_SHARE)
 
     def update(self, now: float, copies: dict[Model, tuple[Upstream, ...]]) -> None:
         """Eject what is slow; ``copies`` are the upstreams that serve each model."""
         self._copies = copies
-        everyone = {upstream for peers in copies.values() for upstream in peers}
-        most = max(1, int(MOST_EJECTED * len(everyone)))
-        for upstream in sorted(everyone & self._seen.keys()):
-            out = sum(self._is_out(now, peer) for peer in everyone)
-            if out >= most or len(everyone) - out <= 1:
+        upstreams = {upstream for peers in copies.values() for upstream in peers}
+        max_ejected = max(1, int(MAX_EJECTED_FRACTION * len(upstreams)))
+        for upstream in sorted(upstreams & self._stats.keys()):
+            ejected = sum(self._is_ejected(now, peer) for peer in upstreams)
+            if ejected >= max_ejected or len(upstreams) - ejected <= 1:
                 return
-            if not self._is_out(now, upstream) and self._is_bad(now, upstream):
-                self._eject(now, self._seen[upstream])
+            if not self._is_ejected(now, upstream) and self._is_outlier(now, upstream):
+                self._eject(now, self._stats[upstream])
 
-    def _is_out(self, now: float, upstream: Upstream) -> bool:
-        seen = self._seen.get(upstream)
-        return seen is not None and seen.is_out(now)
+    def _is_ejected(self, now: float, upstream: Upstream) -> bool:
+        stats = self._stats.get(upstream)
+        return stats is not None and stats.is_ejected(now)
 
-    def _is_bad(self, now: float, upstream: Upstream) -> bool:
-        if self._seen[upstream].failures >= FAILURES:
+    def _is_outlier(self, now: float, upstream: Upstream) -> bool:
+        if self._stats[upstream].failures >= FAILURES_TO_EJECT:
             return True
         slow = compared = 0
-        for model in self._seen[upstream].samples:
+        for model in self._stats[upstream].samples:
             own = self._median(now, upstream, model)
             peers = [
                 value
@@ -128,21 +128,21 @@
             if own is None or not peers:
                 continue
             compared += 1
-            slow += own > max(SLOW * median(peers), self._promised)
+            slow += own > max(SLOW_FACTOR * median(peers), self._token_gap_target_s)
         return 2 * slow > compared
 
     def _median(self, now: float, upstream: Upstream, model: Model) -> float | None:
-        seen = self._seen.get(upstream)
-        samples = seen.samples.get(model, ()) if seen is not None else ()
-        recent = [seconds for at, seconds in samples if now - at <= WINDOW]
-        return median(recent) if len(recent) >= LEAST_SAMPLES else None
-
-    def _eject(self, now: float, seen: _Seen) -> None:
-        if now - seen.ejected_until > MOST_SECONDS:
-            seen.times = 0
-        seconds = min(BASE_SECONDS * 2**seen.times, MOST_SECONDS)
-        seen.ejected_at = now
-        seen.ejected_until = now + seconds
-        seen.times += 1
-        seen.failures = 0
-        seen.samples.clear()
+        stats = self._stats.get(upstream)
+        samples = stats.samples.get(model, ()) if stats is not None else ()
+        recent = [seconds for at, seconds in samples if now - at <= SAMPLE_WINDOW_S]
+        return median(recent) if len(recent) >= MIN_SAMPLES else None
+
+    def _eject(self, now: float, stats: _UpstreamStats) -> None:
+        if now - stats.ejected_until > MAX_EJECTION_S:
+            stats.ejection_count = 0
+        seconds = min(BASE_EJECTION_S * 2**stats.ejection_count, MAX_EJECTION_S)
+        stats.ejected_at = now
+        stats.ejected_until = now + seconds
+        stats.ejection_count += 1
+        stats.failures = 0
+        stats.samples.clear()
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -65,7 +65,7 @@
             False: self.at_once - models_under_way,
         }
         for move in moves:
-            if not move.load:
+            if not move.is_load:
                 yield move
                 continue
             kind = move.model in adapters
--- a/src/persimmonhitch/decide/placement.py
+++ b/src/persimmonhitch/decide/placement.py
@@ -27,13 +27,13 @@
 from typing import Final
 
 from ..ids import Model, Upstream
-from .board import Board, Need, PlacedState, Site
+from .eviction import EvictionPlanner
 from .moves import Move, MoveList, Reason
-from .room import RoomMaker
+from .targets import CopyPhase, ModelRequirement, PlacementState, PlacementTarget
 
-HOT: Final = 0.85
+HOTSPOT_LOAD: Final = 0.85
 MAX_LOADS: Final = 64
-MAX_HEAT_LOADS: Final = 2
+MAX_HOTSPOT_LOADS: Final = 2
 
 
 @dataclass(frozen=True)
@@ -41,10 +41,14 @@
     """Moves to make now, the most urgent first, and loads that find no place."""
 
     moves: tuple[Move, ...]
-    stuck: tuple[tuple[Model, Reason], ...]
+    unplaced: tuple[tuple[Model, Reason], ...]
 
 
-def make_plan(needs: Mapping[Model, Need], sites: Iterable[Site], speed: float) -> Plan:
+def make_plan(
+    needs: Mapping[Model, ModelRequirement],
+    targets: Iterable[PlacementTarget],
+    rate: float,
+) -> Plan:
     """Return the moves to make now.
 
     Parameters
@@ -56,116 +60,118 @@
     speed : float
         Tokens a second that one upstream gives.
     """
-    planner = _Round(Board(needs, sites), speed)
-    planner.retire()
-    planner.load_missing()
-    planner.cool_down()
-    return Plan(tuple(planner.chosen.moves), tuple(planner.room.stuck))
+    planning = _PlanningRound(PlacementState(needs, targets), rate)
+    planning.unload_retired()
+    planning.load_missing()
+    planning.relieve_hotspots()
+    return Plan(tuple(planning.moves.items), tuple(planning.evictions.unplaced))
 
 
 def plan(
-    needs: Mapping[Model, Need], sites: Iterable[Site], speed: float
+    needs: Mapping[Model, ModelRequirement],
+    targets: Iterable[PlacementTarget],
+    rate: float,
 ) -> tuple[Move, ...]:
     """Return the moves of ``make_plan``."""
-    return make_plan(needs, sites, speed).moves
+    return make_plan(needs, targets, rate).moves
 
 
-class _Round:
+class _PlanningRound:
     """One round of planning."""
 
-    def __init__(self, board: Board, speed: float) -> None:
-        self.board = board
-        self.speed = speed
-        self.chosen = MoveList(board, speed)
-        self.room = RoomMaker(self.chosen)
+    def __init__(self, state: PlacementState, rate: float) -> None:
+        self.state = state
+        self.rate = rate
+        self.moves = MoveList(state, rate)
+        self.evictions = EvictionPlanner(self.moves)
 
-    def retire(self) -> None:
+    def unload_retired(self) -> None:
         """Unload copies of models and revisions that nobody may ask for any more."""
-        for upstream, site in self.board.sites.items():
-            for model, placed in site.copies.items():
-                gone = model not in self.board.needs
-                if gone and placed.state is PlacedState.SERVING:
-                    self.chosen.unload(model, upstream, Reason.RETIRED)
-            for model, placed in site.old.items():
-                if placed.state is PlacedState.SERVING and self._replaced(model):
-                    self._unload_old(model, upstream)
-
-    def _replaced(self, model: Model) -> bool:
-        need = self.board.needs.get(model)
+        for upstream, target in self.state.targets.items():
+            for model, placed in target.copies.items():
+                retired = model not in self.state.needs
+                if retired and placed.phase is CopyPhase.SERVING:
+                    self.moves.unload(model, upstream, Reason.RETIRED)
+            for model, placed in target.stale.items():
+                if placed.phase is CopyPhase.SERVING and self._is_replaced(model):
+                    self._unload_stale(model, upstream)
+
+    def _is_replaced(self, model: Model) -> bool:
+        need = self.state.needs.get(model)
         if need is None:
             return True
-        serving, old = len(self.board.serving[model]), len(self.board.old[model])
+        serving, stale = len(self.state.serving[model]), len(self.state.stale[model])
         # An old copy goes only for a new one, so the model keeps its strength.
-        return serving > 0 and serving + old > need.wanted
+        return serving > 0 and serving + stale > need.wanted
 
-    def _unload_old(self, model: Model, upstream: Upstream) -> None:
-        revision = self.board.sites[upstream].old[model].revision
-        self.board.unload_old(model, upstream)
+    def _unload_stale(self, model: Model, upstream: Upstream) -> None:
+        revision = self.state.targets[upstream].stale[model].revision
+        self.state.unload_stale(model, upstream)
         move = Move(False, model, upstream, revision, Reason.REVISION)
-        self.chosen.moves.append(move)
+        self.moves.items.append(move)
 
     def load_missing(self) -> None:
         """Load what is missing, in the order of ``Reason``."""
-        for need, reason in self._missing():
-            if self.chosen.loads >= MAX_LOADS:
+        for need, reason in self._missing_copies():
+            if self.moves.load_count >= MAX_LOADS:
                 return
-            site = self.chosen.choose(need, reason)
-            if site is not None:
-                self.chosen.load(need, site.upstream, reason)
+            target = self.moves.choose(need, reason)
+            if target is not None:
+                self.moves.load(need, target.upstream, reason)
             elif reason is Reason.SPARE:
-                self._yield_old(need)
-            elif not self.room.spent():
-                self.room.make_room(need, reason)
+                self._replace_stale(need)
+            elif not self.evictions.is_exhausted():
+                self.evictions.make_room(need, reason)
 
-    def _yield_old(self, need: Need) -> None:
+    def _replace_stale(self, need: ModelRequirement) -> None:
         """Let an old copy go where a spare of the new revision finds no place."""
         # Two copies would else wait for each other: the old one for the spare, the
         # spare for memory; it shows as a revision that never changes on an upstream.
-        old = self.board.old[need.model]
-        carried = len(self.board.serving[need.model]) >= need.least
-        if old and carried and not self.room.coming(need):
-            self._unload_old(need.model, min(old))
-
-    def _missing(self) -> list[tuple[Need, Reason]]:
-        wants: list[tuple[int, float, Need, Reason]] = []
-        for need in self.board.needs.values():
-            copies = self.board.copies(need.model)
+        stale = self.state.stale[need.model]
+        demand_met = len(self.state.serving[need.model]) >= need.floor
+        if stale and demand_met and not self.evictions.has_pending_space(need):
+            self._unload_stale(need.model, min(stale))
+
+    def _missing_copies(self) -> list[tuple[ModelRequirement, Reason]]:
+        missing: list[tuple[int, float, ModelRequirement, Reason]] = []
+        for need in self.state.needs.values():
+            copies = self.state.copy_count(need.model)
             for index in range(copies, need.wanted):
-                reason = self._reason(need, index)
-                share = need.demand / (index + 1)
-                wants.append((_URGENCY[reason], -share, need, reason))
+                reason = self._load_reason(need, index)
+                demand = need.demand / (index + 1)
+                missing.append((_URGENCY[reason], -demand, need, reason))
         # Bases before adapters, which need one to be there.
-        wants.sort(key=lambda want: (want[0], want[2].base is not None, want[1]))
-        return [(need, reason) for _, _, need, reason in wants]
+        missing.sort(key=lambda entry: (entry[0], entry[2].base is not None, entry[1]))
+        return [(need, reason) for _, _, need, reason in missing]
 
-    def _reason(self, need: Need, index: int) -> Reason:
-        if index == 0 and not self.board.reachable(need.model):
+    def _load_reason(self, need: ModelRequirement, index: int) -> Reason:
+        if index == 0 and not self.state.is_reachable(need.model):
             return Reason.UNREACHABLE
-        if self.board.old[need.model] and index < need.least:
+        if self.state.stale[need.model] and index < need.floor:
             return Reason.REVISION
         # Copies above the least make no room for themselves: they are what demand
         # takes from others, and would take it back in the next round, without end.
-        return Reason.DEMAND if index < need.least else Reason.SPARE
+        return Reason.DEMAND if index < need.floor else Reason.SPARE
 
-    def cool_down(self) -> None:
+    def relieve_hotspots(self) -> None:
         """Add a copy of the busiest model of the hottest upstreams elsewhere."""
-        limit = self.speed * HOT
-        hot = [u for u, heat in self.board.heat.items() if heat > limit]
-        hot.sort(key=lambda upstream: -self.board.heat[upstream])
-        for upstream in hot[:MAX_HEAT_LOADS]:
-            self._cool(self.board.sites[upstream])
-
-    def _cool(self, site: Site) -> None:
-        for model in reversed(self.chosen.by_demand(site)):
-            need = self.board.needs.get(model)
-            if need is None or self.board.loading[model]:
+        limit = self.rate * HOTSPOT_LOAD
+        hot = [u for u, traffic in self.state.traffic.items() if traffic > limit]
+        hot.sort(key=lambda upstream: -self.state.traffic[upstream])
+        for upstream in hot[:MAX_HOTSPOT_LOADS]:
+            self._relieve(self.state.targets[upstream])
+
+    def _relieve(self, source: PlacementTarget) -> None:
+        for model in reversed(self.moves.by_demand(source)):
+            need = self.state.needs.get(model)
+            if need is None or self.state.loading[model]:
                 continue
-            target = self.chosen.choose(need, Reason.HEAT)
+            target = self.moves.choose(need, Reason.HOTSPOT)
             if target is None:
-                self.room.make_room(need, Reason.HEAT)
+                self.evictions.make_room(need, Reason.HOTSPOT)
                 return
-            if not self.chosen.warm(target):
-                self.chosen.load(need, target.upstream, Reason.HEAT)
+            if not self.moves.is_busy(target):
+                self.moves.load(need, target.upstream, Reason.HOTSPOT)
                 return
 
 
--- a/src/persimmonhitch/decide/retries.py
+++ b/src/persimmonhitch/decide/retries.py
@@ -10,7 +10,7 @@
 
 from ..verdict import ErrorCode, Failure, Verdict
 
-ELSEWHERE: Final = frozenset(
+RETRYABLE_ELSEWHERE: Final = frozenset(
     {
         ErrorCode.STALE_INCARNATION,
         ErrorCode.STALE_CONFIG,
@@ -22,28 +22,28 @@
     }
 )
 """Failures of one upstream that say nothing about the others."""
-LOST: Final = frozenset({ErrorCode.UPSTREAM_LOST, ErrorCode.INTERNAL})
+OUTCOME_UNKNOWN: Final = frozenset({ErrorCode.UPSTREAM_LOST, ErrorCode.INTERNAL})
 """Failures after which a request may have run."""
-RETRY_SHARE: Final = 0.1
-LEAST_RATE: Final = 1.0
-MOST_SAVED: Final = 20.0
+RETRY_RATIO: Final = 0.1
+MIN_RETRIES_PER_S: Final = 1.0
+MAX_SAVED: Final = 20.0
 
 
 class RetryBudget:
     """Budget of retries that grows with the requests."""
 
-    def __init__(self, share: float = RETRY_SHARE, most: float = MOST_SAVED) -> None:
-        self._share = share
-        self._most = most
-        self._saved = most / 2
-        self._seen_at: float | None = None
+    def __init__(self, ratio: float = RETRY_RATIO, limit: float = MAX_SAVED) -> None:
+        self._ratio = ratio
+        self._limit = limit
+        self._saved = limit / 2
+        self._refilled_at: float | None = None
 
     def on_request(self, now: float) -> None:
         """Count a first attempt."""
         self._refill(now)
-        self._saved = min(self._saved + self._share, self._most)
+        self._saved = min(self._saved + self._ratio, self._limit)
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Take one retry from the budget, or return False."""
         self._refill(now)
         if self._saved < 1.0:
@@ -52,10 +52,10 @@
         return True
 
     def _refill(self, now: float) -> None:
-        last = now if self._seen_at is None else self._seen_at
-        self._seen_at = max(now, last)
-        gained = (self._seen_at - last) * LEAST_RATE
-        self._saved = min(self._saved + gained, self._most)
+        last = now if self._refilled_at is None else self._refilled_at
+        self._refilled_at = max(now, last)
+        gained = (self._refilled_at - last) * MIN_RETRIES_PER_S
+        self._saved = min(self._saved + gained, self._limit)
 
 
 def may_retry(failure: Failure, repeatable: bool) -> bool:
@@ -65,5 +65,5 @@
     that it may be repeated; else a booking would be made twice.
     """
     if failure.verdict is Verdict.NOT_RUN:
-        return failure.code in ELSEWHERE
-    return repeatable and failure.code in LOST
+        return failure.code in RETRYABLE_ELSEWHERE
+    return repeatable and failure.code in OUTCOME_UNKNOWN
--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -22,19 +22,19 @@
 from ..ids import Adapter, Upstream, Zone
 from ..wire.messages import Report
 
-HINT_TRUST: Final = 0.7
-AFFINITY_BOUND: Final = 0.15
-ZONE_SLACK: Final = 0.003
-ADAPTER_LOAD: Final = 0.1
+HINT_WEIGHT: Final = 0.7
+MAX_AFFINITY_DELAY_S: Final = 0.15
+CROSS_ZONE_PENALTY_S: Final = 0.003
+ADAPTER_LOAD_S: Final = 0.1
 """Seconds that an adapter takes to come into an engine's memory."""
-CHOICES: Final = 2
-START_RATE: Final = 1000.0
+SAMPLE_SIZE: Final = 2
+DEFAULT_RATE: Final = 1000.0
 """Tokens a second assumed where no candidate has been seen busy."""
-RATE_NEW: Final = 0.3
+EWMA_WEIGHT: Final = 0.3
 """Weight of the newest report in the rate."""
-FORGET_AFTER: Final = 20
+MAX_IDLE_REPORTS: Final = 20
 """Idle reports in a row after which a rate is no longer believed."""
-MEAN_REST: Final = 200.0
+MEAN_REMAINING_TOKENS: Final = 200.0
 """Tokens assumed left of a running request of another entry."""
 
 
@@ -58,10 +58,10 @@
 
     upstream: Upstream
     zone: Zone
-    work: float
+    pending: float
     rate: float = 0.0
     share: float = 1.0
-    warm_prefix: float = 0.0
+    cached_prefix: float = 0.0
     has_adapter: bool = True
 
 
@@ -83,17 +83,17 @@
 
     def __init__(self) -> None:
         self.rate = 0.0
-        self._others = 0.0
-        self._in_flight = 0.0
-        self._idle = 0
+        self._others_tokens = 0.0
+        self._in_flight_tokens = 0.0
+        self._idle_reports = 0
 
     def on_send(self, cost: float) -> None:
         """Count a request that leaves for the upstream."""
-        self._in_flight += cost
+        self._in_flight_tokens += cost
 
     def on_done(self, cost: float) -> None:
         """Count a request that ended."""
-        self._in_flight = max(self._in_flight - cost, 0.0)
+        self._in_flight_tokens = max(self._in_flight_tokens - cost, 0.0)
 
     def on_report(self, report: Report) -> None:
         """Take a report; what an idle upstream serves says nothing of its speed."""
@@ -102,43 +102,43 @@
             # The rate of an upstream with room is only what it was asked for. Taken
             # as its speed it would make idle upstreams look slow, and a burst would
             # be sent to the busy ones.
-            seen = report.token_rate if busy else max(report.token_rate, self.rate)
-            self.rate += (RATE_NEW if self.rate > 0.0 else 1.0) * (seen - self.rate)
-        self._idle = self._idle + 1 if report.running == 0 else 0
-        if self._idle >= FORGET_AFTER:
+            rate = report.token_rate if busy else max(report.token_rate, self.rate)
+            self.rate += (EWMA_WEIGHT if self.rate > 0.0 else 1.0) * (rate - self.rate)
+        self._idle_reports = self._idle_reports + 1 if report.running == 0 else 0
+        if self._idle_reports >= MAX_IDLE_REPORTS:
             # One believed to be slow gets no work with which to show otherwise.
             self.rate = 0.0
-        total = report.queued_tokens + report.running * MEAN_REST
-        self._others = max(total - self._in_flight, 0.0)
+        reported = report.queued_tokens + report.running * MEAN_REMAINING_TOKENS
+        self._others_tokens = max(reported - self._in_flight_tokens, 0.0)
 
     @property
-    def work(self) -> float:
+    def pending(self) -> float:
         """Return the tokens in front of a new request."""
-        return self._in_flight + self._others
+        return self._in_flight_tokens + self._others_tokens
 
 
 def expected_completion(candidate: Candidate, req: RouteRequest) -> float:
     """Return the seconds after which a request is expected to end."""
-    cost = max(req.cost - HINT_TRUST * candidate.warm_prefix, 0.0)
-    loading = 0.0 if req.adapter is None or candidate.has_adapter else ADAPTER_LOAD
-    return (candidate.work + cost) / candidate.rate + loading
+    cost = max(req.cost - HINT_WEIGHT * candidate.cached_prefix, 0.0)
+    load_s = 0.0 if req.adapter is None or candidate.has_adapter else ADAPTER_LOAD_S
+    return (candidate.pending + cost) / candidate.rate + load_s
 
 
 def queue_delay(candidate: Candidate) -> float:
     """Return the seconds of work in front of a new request."""
-    return candidate.work / candidate.rate
+    return candidate.pending / candidate.rate
 
 
-def _with_rates(candidates: Sequence[Candidate]) -> list[Candidate]:
+def _fill_missing_rates(candidates: Sequence[Candidate]) -> list[Candidate]:
     """Take those whose rate is not known for as fast as the fastest.
 
     A fixed guess below what its peers serve made an upstream that was never busy
     look slow, and the busy ones got more work for having been seen (play, flood).
     """
     fastest = max(each.rate for each in candidates)
-    usual = fastest if fastest > 0.0 else START_RATE
+    default = fastest if fastest > 0.0 else DEFAULT_RATE
     return [
-        each if each.rate > 0.0 else replace(each, rate=usual) for each in candidates
+        each if each.rate > 0.0 else replace(each, rate=default) for each in candidates
     ]
 
 
@@ -148,36 +148,36 @@
     """Return the upstream that gets a request, or None without candidates."""
     if not candidates:
         return None
-    open_ = _thin(_with_rates(candidates), rng)
-    near = [each for each in open_ if each.zone == req.zone]
-    far = [each for each in open_ if each.zone != req.zone]
-    drawn = _draw(near, rng) + _draw(far, rng)
-    least = min(queue_delay(each) for each in drawn)
-    drawn += [each for each in open_ if _is_warm(each, req, least)]
+    available = _sample_by_share(_fill_missing_rates(candidates), rng)
+    same_zone = [each for each in available if each.zone == req.zone]
+    other_zones = [each for each in available if each.zone != req.zone]
+    sampled = _sample(same_zone, rng) + _sample(other_zones, rng)
+    min_delay = min(queue_delay(each) for each in sampled)
+    sampled += [each for each in available if _has_affinity(each, req, min_delay)]
 
     def rank(each: Candidate) -> float:
-        crossing = 0.0 if each.zone == req.zone else ZONE_SLACK
-        return expected_completion(each, req) + crossing
+        penalty = 0.0 if each.zone == req.zone else CROSS_ZONE_PENALTY_S
+        return expected_completion(each, req) + penalty
 
-    return min(drawn, key=rank)
+    return min(sampled, key=rank)
 
 
-def _thin(candidates: Sequence[Candidate], rng: Random) -> list[Candidate]:
+def _sample_by_share(candidates: Sequence[Candidate], rng: Random) -> list[Candidate]:
     """Leave out an upstream as often as its share of traffic says."""
-    chosen = [each for each in candidates if rng.random() < each.share]
-    if chosen:
-        return chosen
-    most = max(each.share for each in candidates)
-    return [each for each in candidates if each.share == most]
+    kept = [each for each in candidates if rng.random() < each.share]
+    if kept:
+        return kept
+    max_share = max(each.share for each in candidates)
+    return [each for each in candidates if each.share == max_share]
 
 
-def _draw(pool: Sequence[Candidate], rng: Random) -> list[Candidate]:
-    return rng.sample(pool, min(CHOICES, len(pool)))
+def _sample(pool: Sequence[Candidate], rng: Random) -> list[Candidate]:
+    return rng.sample(pool, min(SAMPLE_SIZE, len(pool)))
 
 
-def _is_warm(candidate: Candidate, req: RouteRequest, least: float) -> bool:
+def _has_affinity(candidate: Candidate, req: RouteRequest, min_delay: float) -> bool:
     """Return whether a warm upstream is close enough to the least loaded."""
     has_adapter = req.adapter is not None and candidate.has_adapter
-    if not (candidate.warm_prefix > 0.0 or has_adapter):
+    if not (candidate.cached_prefix > 0.0 or has_adapter):
         return False
-    return queue_delay(candidate) <= least + AFFINITY_BOUND
+    return queue_delay(candidate) <= min_delay + MAX_AFFINITY_DELAY_S
--- /dev/null
+++ b/src/persimmonhitch/decide/targets.py
@@ -0,0 +1,158 @@
+"""Working copy of the fleet's placement while moves are chosen."""
+
+from collections import defaultdict
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+
+from ..ids import Model, Upstream, Zone
+
+
+class CopyPhase(Enum):
+    """Where a copy stands, as the planner sees it."""
+
+    LOADING = "loading"
+    SERVING = "serving"
+    UNLOADING = "leaving"
+
+
+@dataclass(frozen=True)
+class PlacedCopy:
+    """One copy at an upstream; memory in GiB with its KV cache."""
+
+    phase: CopyPhase
+    memory: float
+    revision: str
+
+
+@dataclass(frozen=True)
+class PlacementTarget:
+    """One upstream: its memory in GiB and what it holds.
+
+    ``free`` is the sidecar's own figure; less than capacity minus copies while an
+    old order may still arrive. ``open`` says whether it takes loads.
+    """
+
+    upstream: Upstream
+    zone: Zone
+    capacity: float
+    free: float
+    accepting: bool
+    draining: bool
+    copies: Mapping[Model, PlacedCopy]
+    stale: Mapping[Model, PlacedCopy] = field(default_factory=dict)
+    """Copies of revisions that are no longer the wanted one."""
+
+
+@dataclass(frozen=True)
+class ModelRequirement:
+    """One model or adapter, as the catalog has it, with its demand."""
+
+    model: Model
+    memory: float
+    revision: str
+    base: Model | None
+    demand: float
+    wanted: int
+    floor: int = 1
+    """Copies that the demand takes up without a spare or any hysteresis."""
+
+
+class PlacementState:
+    """Sites and copies with the moves chosen so far applied."""
+
+    def __init__(
+        self,
+        needs: Mapping[Model, ModelRequirement],
+        targets: Iterable[PlacementTarget],
+    ) -> None:
+        self.needs = needs
+        self.targets = {target.upstream: target for target in targets}
+        self.free = {
+            u: target.free if target.accepting else 0.0 for u, target in self._items()
+        }
+        self.freeing: defaultdict[Upstream, float] = defaultdict(float)
+        self.reserved: set[Upstream] = set()
+        self.serving: defaultdict[Model, set[Upstream]] = defaultdict(set)
+        self.loading: defaultdict[Model, set[Upstream]] = defaultdict(set)
+        self.stale: defaultdict[Model, set[Upstream]] = defaultdict(set)
+        self.unloading: defaultdict[Model, set[Upstream]] = defaultdict(set)
+        for upstream, target in self._items():
+            self._add_target(upstream, target)
+        self.traffic = {
+            upstream: self._traffic(target) for upstream, target in self._items()
+        }
+
+    def _items(self) -> Iterable[tuple[Upstream, PlacementTarget]]:
+        return self.targets.items()
+
+    def _add_target(self, upstream: Upstream, target: PlacementTarget) -> None:
+        copies = [*target.copies.values(), *target.stale.values()]
+        unaccounted = target.capacity - target.free - sum(p.memory for p in copies)
+        self.freeing[upstream] += max(0.0, unaccounted)
+        for model, placed in target.copies.items():
+            if placed.phase is CopyPhase.UNLOADING:
+                self.unloading[model].add(upstream)
+                self.freeing[upstream] += placed.memory
+            elif target.draining:
+                continue
+            elif placed.phase is CopyPhase.LOADING:
+                self.loading[model].add(upstream)
+            else:
+                self.serving[model].add(upstream)
+        for model, placed in target.stale.items():
+            if placed.phase is CopyPhase.UNLOADING:
+                self.freeing[upstream] += placed.memory
+            elif not target.draining:
+                self.stale[model].add(upstream)
+
+    def _traffic(self, target: PlacementTarget) -> float:
+        return sum(self.copy_demand(model) for model in target.copies)
+
+    def copy_demand(self, model: Model) -> float:
+        """Return the tokens a second that each copy of a model has to carry."""
+        need = self.needs.get(model)
+        copies = len(self.serving[model]) + len(self.loading[model])
+        return 0.0 if need is None else need.demand / max(1, copies)
+
+    def copy_count(self, model: Model) -> int:
+        """Return the copies that serve or will, apart from leaving upstreams."""
+        return len(self.serving[model]) + len(self.loading[model])
+
+    def is_reachable(self, model: Model) -> bool:
+        """Return whether a copy of any revision serves or is on its way."""
+        return bool(self.serving[model] or self.loading[model] or self.stale[model])
+
+    def zones(self, model: Model) -> set[Zone]:
+        """Return the availability zones that have a copy or will."""
+        upstreams = self.serving[model] | self.loading[model]
+        return {self.targets[upstream].zone for upstream in upstreams}
+
+    def adapters_at(self, base: Model, target: PlacementTarget) -> list[Model]:
+        """Return the adapters of a base that are at a site and stay."""
+        adapters = []
+        for model in target.copies:
+            need = self.needs.get(model)
+            if need is not None and need.base == base:
+                adapters.append(model)
+        return adapters
+
+    def load(self, model: Model, upstream: Upstream) -> None:
+        """Apply a load."""
+        need = self.needs[model]
+        self.free[upstream] -= need.memory
+        self.loading[model].add(upstream)
+        self.traffic[upstream] += self.copy_demand(model)
+
+    def unload(self, model: Model, upstream: Upstream) -> None:
+        """Apply an unload; its memory comes free in a later round."""
+        placed = self.targets[upstream].copies[model]
+        self.traffic[upstream] -= self.copy_demand(model)
+        self.serving[model].discard(upstream)
+        self.unloading[model].add(upstream)
+        self.freeing[upstream] += placed.memory
+
+    def unload_stale(self, model: Model, upstream: Upstream) -> None:
+        """Apply the unload of an old revision."""
+        self.stale[model].discard(upstream)
+        self.freeing[upstream] += self.targets[upstream].stale[model].memory
--- a/src/persimmonhitch/decide/shift.py
+++ b/src/persimmonhitch/decide/warmup.py
@@ -9,14 +9,14 @@
 
 from typing import Final
 
-WARMUP_SECONDS: Final = 10.0
-LEAST_SHARE: Final = 0.2
+WARMUP_S: Final = 10.0
+MIN_SHARE: Final = 0.2
 
 
-def warmup_weight(
-    age: float, seconds: float = WARMUP_SECONDS, least: float = LEAST_SHARE
+def warmup_share(
+    age_s: float, duration_s: float = WARMUP_S, min_share: float = MIN_SHARE
 ) -> float:
     """Return the part of its usual traffic that a copy of this age may get."""
-    if age >= seconds:
+    if age_s >= duration_s:
         return 1.0
-    return least + (1.0 - least) * max(age, 0.0) / seconds
+    return min_share + (1.0 - min_share) * max(age_s, 0.0) / duration_s
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -69,7 +69,7 @@
             route.resumable
             and flight.abort.reason is None
             and flight.attempts < route.max_attempts
-            and self._retries.take(self._clock())
+            and self._retries.try_spend(self._clock())
         )
         if not allowed:
             return Err(failure)
@@ -88,7 +88,7 @@
             flight.abort.reason is None
             and route.repeatable
             and flight.attempts < route.max_attempts
-            and self._retries.take(self._clock())
+            and self._retries.try_spend(self._clock())
         )
 
     def _attempts(
@@ -116,7 +116,7 @@
             return False
         if failure.code is ErrorCode.NO_UPSTREAM:
             return True
-        return self._retries.take(self._clock())
+        return self._retries.try_spend(self._clock())
 
     def _attempt(
         self, flight: Flight, last_event: str | None
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -18,7 +18,7 @@
 from docopt import docopt
 from returns.result import Success
 
-from ..decide.admission import connections_full
+from ..decide.admission import connections_refusal
 from ..decide.overlay import Member, Overlay
 from ..entry.peers import PeerInfo, PeerMesh
 from ..fleet.config import NOTHING, FleetConfig
@@ -245,7 +245,7 @@
     def _check_connections(self) -> Failure | None:
         if self.refusing.is_set():
             return STOPPING
-        return connections_full(len(self.watchdog), self.cfg.threads)
+        return connections_refusal(len(self.watchdog), self.cfg.threads)
 
     def _is_ready(self) -> bool:
         needed = self.watchers[Kind.FLEET], self.watchers[Kind.UPSTREAM]
--- a/src/persimmonhitch/entry/forward.py
+++ b/src/persimmonhitch/entry/forward.py
@@ -9,7 +9,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..decide.retries import LOST, RetryBudget, may_retry
+from ..decide.retries import OUTCOME_UNKNOWN, RetryBudget, may_retry
 from ..ids import ConfigVersion, Model, Tokens, Upstream
 from ..observe.logs import log
 from ..observe.metrics import Metrics
@@ -91,7 +91,7 @@
         now = time.monotonic()
         if now >= req.deadline_at or not may_retry(exc, req.repeatable):
             return False
-        return self._budget.take(now)
+        return self._budget.try_spend(now)
 
     def _target(
         self, req: Admitted, tried: frozenset[Upstream]
@@ -154,7 +154,7 @@
         return Err(fail.failure())
 
     def _refused_by(self, upstream: Upstream, fail: Fail) -> None:
-        if fail.verdict is not Verdict.NOT_RUN and fail.code in LOST:
+        if fail.verdict is not Verdict.NOT_RUN and fail.code in OUTCOME_UNKNOWN:
             self._router.failed(upstream)
 
     def _whole(
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -15,7 +15,7 @@
 
 from ..catalog.model import Catalog
 from ..catalog.sync import CatalogSync
-from ..decide.admission import connections_full
+from ..decide.admission import connections_refusal
 from ..ids import Region, Vm, Zone, new_incarnation
 from ..kernel import Lifecycle
 from ..kernel.service import run_service
@@ -108,7 +108,7 @@
         )
 
     def _full(self) -> Failure | None:
-        return connections_full(self.server.busy(), self.cfg.threads)
+        return connections_refusal(self.server.busy(), self.cfg.threads)
 
     def _ready(self) -> bool:
         # Without the sidecars every request would be refused here, while another
--- a/src/persimmonhitch/entry/router.py
+++ b/src/persimmonhitch/entry/router.py
@@ -7,8 +7,8 @@
 
 from ..decide.outliers import OutlierDetector
 from ..decide.routing import Candidate, RouteRequest, choose
-from ..decide.shift import warmup_weight
 from ..decide.waiting import FIRST_LOAD, FIRST_RESTART, MissingCopies
+from ..decide.warmup import warmup_share
 from ..ids import Model, Service, Upstream, Zone
 from ..verdict import Failure
 from .pool import SidecarPool
@@ -52,13 +52,13 @@
         return None if chosen is None else by_name[chosen.upstream]
 
     def _candidate(self, conn: SidecarConn, group: Model, now: float) -> Candidate:
-        share = self._outliers.share(now, conn.info.upstream, group)
+        share = self._outliers.traffic_share(now, conn.info.upstream, group)
         return Candidate(
             upstream=conn.info.upstream,
             zone=conn.info.zone,
-            work=conn.load.work,
+            pending=conn.load.pending,
             rate=conn.load.rate,
-            share=share * warmup_weight(conn.age_of(group, now)),
+            share=share * warmup_share(conn.age_of(group, now)),
         )
 
     def _missing(self, service: Service | None) -> MissingCopies:
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from ..decide.board import Need, Placed, PlacedState, Site
 from ..decide.pacing import Place
 from ..decide.placement import Move
+from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..entry.directory import SidecarInfo
 from ..ids import Epoch, Model, Upstream
 from ..wire.link import Link
@@ -17,9 +17,9 @@
 """Seconds without a link until an upstream's copies count as gone: longer than a
 sidecar's restart, which would else cost a load of each of its models."""
 STATES: Final = {
-    CopyState.LOADING: PlacedState.LOADING,
-    CopyState.LOADED: PlacedState.SERVING,
-    CopyState.UNLOADING: PlacedState.LEAVING,
+    CopyState.LOADING: CopyPhase.LOADING,
+    CopyState.LOADED: CopyPhase.SERVING,
+    CopyState.UNLOADING: CopyPhase.UNLOADING,
 }
 
 
@@ -114,8 +114,8 @@
         return all(member.current(epoch) for member in self.members.values())
 
     def sites(
-        self, epoch: Epoch, needs: Mapping[Model, Need], now: float
-    ) -> list[Site]:
+        self, epoch: Epoch, needs: Mapping[Model, ModelRequirement], now: float
+    ) -> list[PlacementTarget]:
         """Return the upstreams that are known to live, or were a moment ago."""
         found = []
         for upstream, member in self.members.items():
@@ -144,51 +144,53 @@
     upstream: Upstream,
     member: Member,
     holdings: Holdings,
-    needs: Mapping[Model, Need],
+    needs: Mapping[Model, ModelRequirement],
     silent: bool,
-) -> Site:
-    copies: dict[Model, Placed] = {}
-    old: dict[Model, Placed] = {}
+) -> PlacementTarget:
+    copies: dict[Model, PlacedCopy] = {}
+    old: dict[Model, PlacedCopy] = {}
     free = holdings.free
     for held in holdings.holdings:
         state = STATES.get(held.state)
         if state is None:
             continue
-        if silent and state is PlacedState.SERVING:
+        if silent and state is CopyPhase.SERVING:
             # It may serve or be gone: it counts as a copy, so that a sidecar's
             # restart moves nothing, but no other copy is unloaded for its sake.
-            state = PlacedState.LOADING
+            state = CopyPhase.LOADING
         name, revision = held.copy.name, held.copy.revision
         need = needs.get(name)
         wanted = need is None or need.revision == revision
-        (copies if wanted else old)[name] = Placed(state, held.memory, revision)
+        (copies if wanted else old)[name] = PlacedCopy(state, held.memory, revision)
     for order in member.orders.values():
         free -= _apply(order, copies, old)
-    return Site(
+    return PlacementTarget(
         upstream=upstream,
         zone=holdings.zone,
         capacity=holdings.capacity,
         free=max(0.0, free),
-        open=holdings.ready and not silent,
+        accepting=holdings.ready and not silent,
         draining=holdings.draining or member.info.draining,
         copies=copies,
-        old=old,
+        stale=old,
     )
 
 
 def _apply(
-    order: OpenOrder, copies: dict[Model, Placed], old: dict[Model, Placed]
+    order: OpenOrder, copies: dict[Model, PlacedCopy], old: dict[Model, PlacedCopy]
 ) -> float:
     """Enter an order that the holdings may not show yet; return the memory taken."""
     move = order.move
-    if not move.load:
+    if not move.is_load:
         for side in (copies, old):
             placed = side.get(move.model)
             if placed is not None and placed.revision == move.revision:
-                leaving = Placed(PlacedState.LEAVING, placed.memory, placed.revision)
+                leaving = PlacedCopy(
+                    CopyPhase.UNLOADING, placed.memory, placed.revision
+                )
                 side[move.model] = leaving
         return 0.0
     if move.model in copies:
         return 0.0
-    copies[move.model] = Placed(PlacedState.LOADING, order.memory, move.revision)
+    copies[move.model] = PlacedCopy(CopyPhase.LOADING, order.memory, move.revision)
     return order.memory
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -161,7 +161,7 @@
     def _may_send(self, move: Move, epoch: Epoch) -> bool:
         if self._lease.epoch() == epoch:
             return True
-        rescue = move.load and move.reason is Reason.UNREACHABLE
+        rescue = move.is_load and move.reason is Reason.UNREACHABLE
         return rescue and self._lease.caretaker() == epoch
 
     def _change_epoch(self, epoch: Epoch | None) -> None:
@@ -214,7 +214,7 @@
         # orders would reach sidecars that another planner counts on.
         if not self._may_send(move, epoch):
             return
-        action = Action.LOAD if move.load else Action.UNLOAD
+        action = Action.LOAD if move.is_load else Action.UNLOAD
         name = self._order_name(epoch)
         order = Order(name, epoch, action.value, base, adapter, move.revision, memory)
         member.orders[name] = OpenOrder(move, memory)
--- a/src/persimmonhitch/planner/round.py
+++ b/src/persimmonhitch/planner/round.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 
 from ..catalog.model import Catalog
-from ..decide.board import Need, PlacedState, Site
 from ..decide.copy_count import CopyCounts
 from ..decide.pacing import LoadPacer, Place, RetryDelay
 from ..decide.placement import Move, Reason, make_plan
+from ..decide.targets import CopyPhase, ModelRequirement, PlacementTarget
 from ..ids import Model
 from ..observe.logs import log
 
@@ -33,35 +33,35 @@
 
     def needs(
         self, catalog: Catalog, asked: dict[Model, float], now: float
-    ) -> dict[Model, Need]:
+    ) -> dict[Model, ModelRequirement]:
         """Return every model of the catalog with its demand and copies wanted."""
         entries = catalog.models
         bases = {m: e.base for m, e in entries.items() if e.base is not None}
-        demand = self.counts.demand({m: asked.get(m, 0.0) for m in entries}, now)
-        wanted = self.counts.wanted(demand, bases, now)
+        demand = self.counts.smooth({m: asked.get(m, 0.0) for m in entries}, now)
+        wanted = self.counts.update(demand, bases, now)
         return {
-            model: Need(
+            model: ModelRequirement(
                 model=model,
                 memory=entry.memory + entry.kv_memory,
                 revision=entry.revision,
                 base=entry.base,
                 demand=demand[model],
                 wanted=wanted[model].wanted,
-                least=wanted[model].least,
+                floor=wanted[model].floor,
             )
             for model, entry in entries.items()
         }
 
     def moves(
         self,
-        needs: dict[Model, Need],
-        sites: list[Site],
+        needs: dict[Model, ModelRequirement],
+        sites: list[PlacementTarget],
         ordered: set[Place],
         now: float,
     ) -> list[Move]:
         """Return the moves to order now; places with an open order are left out."""
         planned = make_plan(needs, sites, self.speed)
-        self._tell_stuck(planned.stuck)
+        self._tell_stuck(planned.unplaced)
         blocked = self.retry.blocked(now) | ordered
         chosen = [
             move
@@ -78,23 +78,27 @@
         self._stuck = set(stuck)
 
 
-def _unfinished(needs: dict[Model, Need], sites: list[Site]) -> list[Move]:
+def _unfinished(
+    needs: dict[Model, ModelRequirement], sites: list[PlacementTarget]
+) -> list[Move]:
     """Return loads that a sidecar has reserved for; they may have been lost."""
     return [
         Move(True, model, site.upstream, placed.revision, Reason.UNREACHABLE)
         for site in sites
-        if site.open
+        if site.accepting
         for model, placed in site.copies.items()
-        if placed.state is PlacedState.LOADING and model in needs
+        if placed.phase is CopyPhase.LOADING and model in needs
     ]
 
 
-def _under_way(sites: list[Site], adapters: frozenset[Model]) -> tuple[int, int]:
+def _under_way(
+    sites: list[PlacementTarget], adapters: frozenset[Model]
+) -> tuple[int, int]:
     loading = [
         model
         for site in sites
         for model, placed in site.copies.items()
-        if placed.state is PlacedState.LOADING
+        if placed.phase is CopyPhase.LOADING
     ]
     lora = sum(model in adapters for model in loading)
     return len(loading) - lora, lora
--- a/src/persimmonhitch/play/baselines.py
+++ b/src/persimmonhitch/play/baselines.py
@@ -11,7 +11,7 @@
 from returns.result import Result, Success
 
 from ..decide.admission import Admitted, LoadView
-from ..decide.fairness import Waiting
+from ..decide.fairness import QueuedRequest
 from ..decide.routing import Candidate, RouteRequest
 from ..ids import Account
 from ..verdict import ErrorCode, Failure
@@ -28,18 +28,18 @@
     """First-come first-served."""
 
     def __init__(self) -> None:
-        self._items: deque[Waiting] = deque()
+        self._items: deque[QueuedRequest] = deque()
         self.tokens = 0.0
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: QueuedRequest) -> None:
         """Add a request at the end."""
         self._items.append(item)
         self.tokens += item.cost
 
-    def pop(self, now: float) -> Waiting | None:
+    def pop(self, now: float) -> QueuedRequest | None:
         """Remove and return the first request."""
         if not self._items:
             return None
@@ -47,7 +47,7 @@
         self.tokens -= item.cost
         return item
 
-    def expire(self, now: float) -> tuple[Waiting, ...]:
+    def expire(self, now: float) -> tuple[QueuedRequest, ...]:
         """Remove and return requests at their deadline, not before."""
         late = tuple(item for item in self._items if item.deadline_at <= now)
         for item in late:
@@ -55,14 +55,14 @@
             self.tokens -= item.cost
         return late
 
-    def overflow(self, bound: float) -> tuple[Waiting, ...]:
+    def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
         """Remove nothing; the bound refuses newcomers."""
         return ()
 
     def charge(self, account: Account, tokens: float, priority: Priority) -> None:
         """Do nothing; no account is counted."""
 
-    def ahead(self, account: Account, weight: float, priority: Priority) -> float:
+    def backlog(self, account: Account, weight: float, priority: Priority) -> float:
         """Return all that waits."""
         return self.tokens
 
@@ -119,13 +119,13 @@
 def admit_by_length(
     view: LoadView,
     cost: float,
-    deadline_left: float,
+    remaining_s: float,
     priority: Priority,
-    needs: float = 0.0,
+    service_s: float = 0.0,
 ) -> Result[Admitted, Failure]:
     """Let in as long as the queue has room, whatever the deadline."""
     # Mean cost of a call, so that the bound stands for a number of requests.
-    if view.ahead > QUEUE_LENGTH * 700.0:
+    if view.backlog > QUEUE_LENGTH * 700.0:
         return Err(Failure(ErrorCode.OVERLOADED, "queue is full", retry_after=1.0))
     return Success(Admitted(0.0))
 
--- a/src/persimmonhitch/play/entry.py
+++ b/src/persimmonhitch/play/entry.py
@@ -4,7 +4,7 @@
 
 from ..decide.outliers import OutlierDetector
 from ..decide.routing import Candidate, RouteRequest, UpstreamLoad
-from ..decide.shift import warmup_weight
+from ..decide.warmup import warmup_share
 from ..ids import Upstream, Zone
 from .calls import Call
 from .policy import Policy
@@ -41,15 +41,15 @@
         load = self.load(sidecar.name)
         share = 1.0
         if self._policy.ejects:
-            share = self.detector.share(now, sidecar.name, call.model)
+            share = self.detector.traffic_share(now, sidecar.name, call.model)
         if self._policy.warms_up:
-            share *= warmup_weight(now - sidecar.models[call.model])
+            share *= warmup_share(now - sidecar.models[call.model])
         return Candidate(
             upstream=sidecar.name,
             zone=sidecar.zone,
-            work=load.work,
+            pending=load.pending,
             rate=load.rate,
             share=share,
-            warm_prefix=sidecar.engine.warm_prefix(call.prefix),
+            cached_prefix=sidecar.engine.warm_prefix(call.prefix),
             has_adapter=sidecar.engine.has_adapter(call.adapter),
         )
--- a/src/persimmonhitch/play/placement_fleet.py
+++ b/src/persimmonhitch/play/placement_fleet.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ..decide.board import Need, Placed, PlacedState, Site
 from ..decide.placement import Move
+from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..ids import Model, Upstream, Zone
 from ..standin.weights import WeightStore
 
@@ -48,24 +48,24 @@
             zone = Zone(f"zone-{index % zones}")
             self.upstreams[Upstream(f"up-{index}")] = Accelerator(zone, capacity)
 
-    def sites(self, needs: dict[Model, Need]) -> list[Site]:
+    def sites(self, needs: dict[Model, ModelRequirement]) -> list[PlacementTarget]:
         """Return the fleet as a planner sees it."""
         return [self._site(u, acc, needs) for u, acc in self.upstreams.items()]
 
     def _site(
-        self, upstream: Upstream, acc: Accelerator, needs: dict[Model, Need]
-    ) -> Site:
-        current: dict[Model, Placed] = {}
-        old: dict[Model, Placed] = {}
+        self, upstream: Upstream, acc: Accelerator, needs: dict[Model, ModelRequirement]
+    ) -> PlacementTarget:
+        current: dict[Model, PlacedCopy] = {}
+        old: dict[Model, PlacedCopy] = {}
         for (model, revision), held in acc.copies.items():
             need = needs.get(model)
             wanted = need is None or need.revision == revision
             serves = held.serves_at <= self.now
-            state = PlacedState.SERVING if serves else PlacedState.LOADING
-            placed = Placed(state, held.memory, revision)
+            state = CopyPhase.SERVING if serves else CopyPhase.LOADING
+            placed = PlacedCopy(state, held.memory, revision)
             (current if wanted else old)[model] = placed
         free, capacity = acc.free(), acc.capacity
-        return Site(
+        return PlacementTarget(
             upstream, acc.zone, capacity, free, True, acc.draining, current, old
         )
 
@@ -80,11 +80,13 @@
         count = sum(model in adapters for model in loading)
         return len(loading) - count, count
 
-    def apply(self, moves: Iterable[Move], needs: dict[Model, Need]) -> None:
+    def apply(
+        self, moves: Iterable[Move], needs: dict[Model, ModelRequirement]
+    ) -> None:
         """Carry out moves; a load that finds no memory is a fault of the planner."""
         for move in moves:
             acc = self.upstreams[move.upstream]
-            if not move.load:
+            if not move.is_load:
                 acc.copies.pop((move.model, move.revision), None)
                 self.unloads += 1
                 continue
--- a/src/persimmonhitch/play/placement_load.py
+++ b/src/persimmonhitch/play/placement_load.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..decide.board import Need
+from ..decide.targets import ModelRequirement
 from ..ids import Model
 
 SPEED: Final = 400.0
@@ -45,7 +45,7 @@
 class Profile:
     """One model's steady demand and when it surges."""
 
-    need: Need
+    need: ModelRequirement
     steady: float
     surges: tuple[float, ...]
 
@@ -79,12 +79,12 @@
     found = []
     for rank in range(dep.models):
         steady = 0.7 * total * weights[rank] / sum(weights)
-        need = Need(Model(f"m{rank}"), rng.choice(SIZES), "1", None, 0.0, 1)
+        need = ModelRequirement(Model(f"m{rank}"), rng.choice(SIZES), "1", None, 0.0, 1)
         found.append(Profile(need, steady, _starts(rng, seconds, surges_an_hour)))
     for index in range(dep.adapters):
         base = Model(f"m{rng.randrange(dep.models)}")
         name = Model(f"x{index}")
-        need = Need(name, ADAPTER_SIZE, "1", base, 0.0, 1)
+        need = ModelRequirement(name, ADAPTER_SIZE, "1", base, 0.0, 1)
         found.append(Profile(need, 0.3 * total / dep.adapters, ()))
     return found
 
--- a/src/persimmonhitch/play/placement_planners.py
+++ b/src/persimmonhitch/play/placement_planners.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Final, Protocol
 
-from ..decide.board import Need
-from ..decide.copy_count import FILL, POPULAR, CopyCounts, copies_for
+from ..decide.copy_count import SPARE_LOAD, TARGET_LOAD, CopyCounts, copies_for
 from ..decide.placement import Move, Reason, plan
+from ..decide.targets import ModelRequirement
 from ..ids import Model, Upstream
 from .placement_fleet import Fleet
 from .placement_load import SPEED
 
-Needs = dict[Model, Need]
+Needs = dict[Model, ModelRequirement]
 Asked = dict[Model, float]
 
 
@@ -39,11 +39,11 @@
 
     def full(self, fleet: Fleet, needs: Needs, asked: Asked) -> Needs:
         """Return the needs with their demand and copies wanted."""
-        demand = self.counts.demand(asked, fleet.now)
-        wanted = self.counts.wanted(demand, _bases(needs), fleet.now)
+        demand = self.counts.smooth(asked, fleet.now)
+        wanted = self.counts.update(demand, _bases(needs), fleet.now)
         full = {
             m: replace(
-                need, demand=demand[m], wanted=wanted[m].wanted, least=wanted[m].least
+                need, demand=demand[m], wanted=wanted[m].wanted, floor=wanted[m].floor
             )
             for m, need in needs.items()
         }
@@ -70,10 +70,10 @@
             total[base] += asked[adapter]
         full = {}
         for model, need in needs.items():
-            spare = 1 if total[model] >= POPULAR * SPEED else 0
-            least = copies_for(total[model], SPEED * FILL)
+            spare = 1 if total[model] >= SPARE_LOAD * SPEED else 0
+            least = copies_for(total[model], SPEED * TARGET_LOAD)
             full[model] = replace(
-                need, demand=asked[model], wanted=least + spare, least=least
+                need, demand=asked[model], wanted=least + spare, floor=least
             )
         chosen = list(plan(full, fleet.sites(full), SPEED))
         return chosen + _surplus(fleet, full, chosen)
--- a/src/persimmonhitch/play/placement_play.py
+++ b/src/persimmonhitch/play/placement_play.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..decide.board import Need
 from ..decide.pacing import LoadPacer
+from ..decide.targets import ModelRequirement
 from ..ids import Model, Upstream
 from ..standin.weights import WeightStore
 from .placement_fleet import Accelerator, Fleet
@@ -63,7 +63,9 @@
 
     def __post_init__(self) -> None:
         dep = self.dep
-        self.needs: dict[Model, Need] = {p.need.model: p.need for p in self.models}
+        self.needs: dict[Model, ModelRequirement] = {
+            p.need.model: p.need for p in self.models
+        }
         bases = {m for m, need in self.needs.items() if need.base is not None}
         self.adapters = frozenset(bases)
         self.fleet = Fleet(WeightStore(dep.rate, dep.at_once, dep.adapters_at_once))
--- a/src/persimmonhitch/play/placement_scale.py
+++ b/src/persimmonhitch/play/placement_scale.py
@@ -121,7 +121,7 @@
         asked = fleet.demand(Epoch(7))
         fleet.sites(Epoch(7), {}, 0.0)
         seen = 1000.0 * (time.perf_counter() - start)
-        rounds.counts.demand(asked, 0.0)
+        rounds.counts.smooth(asked, 0.0)
         size = len(encode(first[0]))
         print(f"| {engines} | {_resident():.0f} | {size} | {taken:.0f} | {seen:.0f} |")
     return 0
--- a/src/persimmonhitch/play/placer.py
+++ b/src/persimmonhitch/play/placer.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from ..decide.board import Need, Placed, PlacedState, Site
 from ..decide.copy_count import CopyCounts
 from ..decide.pacing import LoadPacer
 from ..decide.placement import Move, plan
+from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..ids import Model, Upstream
 from .policy import PLACE_EVERY, StaticPlacer
 from .sizes import Deployment
@@ -22,7 +22,7 @@
 class _Copy:
     """One copy at an engine, and until when its order is under way."""
 
-    state: PlacedState
+    state: CopyPhase
     until: float = 0.0
 
 
@@ -33,19 +33,19 @@
     def settle(self, now: float) -> None:
         """Finish the orders whose time has come."""
         for model, copy in list(self.copies.items()):
-            if copy.until > now or copy.state is PlacedState.SERVING:
+            if copy.until > now or copy.state is CopyPhase.SERVING:
                 continue
-            if copy.state is PlacedState.LEAVING:
+            if copy.state is CopyPhase.UNLOADING:
                 del self.copies[model]
             else:
-                copy.state = PlacedState.SERVING
+                copy.state = CopyPhase.SERVING
 
     def serving(self) -> frozenset[Model]:
         """Return the models that may get work."""
         return frozenset(
             model
             for model, copy in self.copies.items()
-            if copy.state is PlacedState.SERVING
+            if copy.state is CopyPhase.SERVING
         )
 
 
@@ -61,9 +61,7 @@
         )
         start = StaticPlacer(size).place(0.0, {})
         self._engines = {
-            name: _Engine(
-                {model: _Copy(PlacedState.SERVING) for model in sorted(models)}
-            )
+            name: _Engine({model: _Copy(CopyPhase.SERVING) for model in sorted(models)})
             for name, models in start.items()
         }
 
@@ -80,7 +78,7 @@
     def _order(self, now: float, demand: dict[Model, float]) -> None:
         moves = plan(self._needs(now, demand), self._sites(), SPEED)
         loading = sum(
-            copy.state is PlacedState.LOADING
+            copy.state is CopyPhase.LOADING
             for engine in self._engines.values()
             for copy in engine.copies.values()
         )
@@ -89,41 +87,43 @@
 
     def _carry_out(self, move: Move, now: float) -> None:
         copies = self._engines[move.upstream].copies
-        if move.load:
+        if move.is_load:
             self.moves += 1
-            copies[move.model] = _Copy(PlacedState.LOADING, now + LOAD_SECONDS)
+            copies[move.model] = _Copy(CopyPhase.LOADING, now + LOAD_SECONDS)
         else:
-            copies[move.model] = _Copy(PlacedState.LEAVING, now + UNLOAD_SECONDS)
+            copies[move.model] = _Copy(CopyPhase.UNLOADING, now + UNLOAD_SECONDS)
 
-    def _needs(self, now: float, demand: dict[Model, float]) -> dict[Model, Need]:
+    def _needs(
+        self, now: float, demand: dict[Model, float]
+    ) -> dict[Model, ModelRequirement]:
         asked = {name: demand.get(name, 0.0) for name in self._size.model_names()}
-        smooth = self._counts.demand(asked, now)
-        counts = self._counts.wanted(smooth, {}, now)
+        smooth = self._counts.smooth(asked, now)
+        counts = self._counts.update(smooth, {}, now)
         return {
-            name: Need(
+            name: ModelRequirement(
                 model=name,
                 memory=1.0,
                 revision=REVISION,
                 base=None,
                 demand=smooth[name],
                 wanted=counts[name].wanted,
-                least=counts[name].least,
+                floor=counts[name].floor,
             )
             for name in asked
         }
 
-    def _sites(self) -> list[Site]:
+    def _sites(self) -> list[PlacementTarget]:
         slots = float(self._size.models_per_engine)
         return [
-            Site(
+            PlacementTarget(
                 upstream=name,
                 zone=self._size.zone_of(number),
                 capacity=slots,
                 free=slots - len(engine.copies),
-                open=True,
+                accepting=True,
                 draining=False,
                 copies={
-                    model: Placed(copy.state, 1.0, REVISION)
+                    model: PlacedCopy(copy.state, 1.0, REVISION)
                     for model, copy in engine.copies.items()
                 },
             )
--- a/src/persimmonhitch/play/policy.py
+++ b/src/persimmonhitch/play/policy.py
@@ -9,7 +9,7 @@
 
 from ..decide.admission import Admitted, LoadView, admit
 from ..decide.concurrency import ConcurrencyLimit
-from ..decide.fairness import FairQueue, Waiting
+from ..decide.fairness import FairQueue, QueuedRequest
 from ..decide.routing import Candidate, RouteRequest, choose
 from ..ids import Account, Model, Upstream
 from ..verdict import Failure
@@ -30,22 +30,22 @@
 
     def __len__(self) -> int: ...
 
-    def push(self, item: Waiting) -> None:
+    def push(self, item: QueuedRequest) -> None:
         """Add a request."""
 
-    def pop(self, now: float) -> Waiting | None:
+    def pop(self, now: float) -> QueuedRequest | None:
         """Remove and return the next request."""
 
-    def expire(self, now: float) -> tuple[Waiting, ...]:
+    def expire(self, now: float) -> tuple[QueuedRequest, ...]:
         """Remove and return what can no longer finish."""
 
-    def overflow(self, bound: float) -> tuple[Waiting, ...]:
+    def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
         """Remove and return what exceeds the bound."""
 
     def charge(self, account: Account, tokens: float, priority: Priority) -> None:
         """Correct what an account was charged."""
 
-    def ahead(self, account: Account, weight: float, priority: Priority) -> float:
+    def backlog(self, account: Account, weight: float, priority: Priority) -> float:
         """Return the tokens that go before a new request."""
 
 
--- a/src/persimmonhitch/play/sidecar.py
+++ b/src/persimmonhitch/play/sidecar.py
@@ -6,8 +6,8 @@
 
 from returns.result import Failure as Err
 
-from ..decide.admission import LoadView, ServiceRate, likely_service, queue_bound
-from ..decide.fairness import Waiting
+from ..decide.admission import LoadView, ServiceRate, expected_service, max_queue_tokens
+from ..decide.fairness import QueuedRequest
 from ..ids import ConfigVersion, Incarnation, Model, RequestId, Upstream, Zone
 from ..wire.messages import Priority, Report
 from .calls import Call
@@ -52,11 +52,11 @@
         """Let a call in, or return False."""
         now = self._clock.now
         self._drop_late()
-        needs = likely_service(0.0, self._limit.gap_p95, call.most_output)
+        needs = expected_service(0.0, self._limit.gap_p95, call.most_output)
         view = LoadView(
-            ahead=self._queue.ahead(call.account, weight, call.priority),
+            backlog=self._queue.backlog(call.account, weight, call.priority),
             rate=self._meter.rate,
-            first_token=self._limit.first_token_p95,
+            first_token_s=self._limit.first_token_p95,
             running=len(self.engine.streams),
             limit=self._limit.limit,
         )
@@ -66,7 +66,7 @@
             return False
         self._calls[call.request] = call
         self._queue.push(
-            Waiting(
+            QueuedRequest(
                 call.request,
                 call.account,
                 weight,
@@ -78,7 +78,7 @@
             )
         )
         if self._meter.rate > 0.0:
-            bound = queue_bound(self._meter.rate, Priority.BATCH)
+            bound = max_queue_tokens(self._meter.rate, Priority.BATCH)
             for item in self._queue.overflow(bound):
                 self._end(self._calls.pop(item.request), Outcome.REFUSED)
         self._pump()
--- a/src/persimmonhitch/sidecar/dispatch.py
+++ b/src/persimmonhitch/sidecar/dispatch.py
@@ -14,8 +14,8 @@
 import pykka
 from returns.result import Success
 
-from ..decide.admission import LoadView, admit, expired, queue_full
-from ..decide.fairness import FairQueue, Waiting
+from ..decide.admission import LoadView, admit, deadline_refusal, queue_full_refusal
+from ..decide.fairness import FairQueue, QueuedRequest
 from ..ids import Incarnation, Model, RequestId
 from ..kernel.actors import proxied
 from ..observe.logs import log
@@ -170,16 +170,16 @@
 
     def _view(self, sub: Submit) -> LoadView:
         return LoadView(
-            ahead=self._queue.ahead(sub.account, sub.weight, sub.priority),
+            backlog=self._queue.backlog(sub.account, sub.weight, sub.priority),
             rate=self._meter.service_rate,
-            first_token=self._meter.first_token_p95,
+            first_token_s=self._meter.first_token_p95,
             running=len(self._running),
             limit=self._meter.limit,
         )
 
     def _shed_overflow(self, now: float) -> None:
         """Refuse what the queue can't hold, from the account that fills it."""
-        refusal = queue_full(self._queue_tokens, self._meter.service_rate)
+        refusal = queue_full_refusal(self._queue_tokens, self._meter.service_rate)
         for item in self._queue.overflow(self._queue_tokens):
             self._seen.bury(item.request, now)
             self._jobs.pop(item.request).fail(refusal)
@@ -285,7 +285,7 @@
             job = self._jobs[item.request]
             job.ended_at = now
             self._seen.bury(item.request, now)
-            job.fail(expired(self._queue.tokens, self._meter.service_rate))
+            job.fail(deadline_refusal(self._queue.tokens, self._meter.service_rate))
 
     def _forget(self, now: float) -> None:
         for request, job in list(self._jobs.items()):
@@ -343,9 +343,9 @@
             return left
 
 
-def _waiting(job: Job) -> Waiting:
+def _waiting(job: Job) -> QueuedRequest:
     sub = job.submit
-    return Waiting(
+    return QueuedRequest(
         request=sub.request,
         account=sub.account,
         weight=sub.weight,
--- a/src/persimmonhitch/slopes/placement.py
+++ b/src/persimmonhitch/slopes/placement.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterator, Sequence
 from typing import Final
 
-from ..decide.board import Need, Placed, PlacedState, Site
 from ..decide.placement import plan
+from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..ids import Model, Upstream, Zone
 from .base import SLOPES, Reading, Slope
 
@@ -19,7 +19,7 @@
 """Copies that an upstream holds; a fourth would fit."""
 
 
-Fleet = tuple[dict[Model, Need], list[Site]]
+Fleet = tuple[dict[Model, ModelRequirement], list[PlacementTarget]]
 
 
 def fleet(upstreams: int, models: int, lost: int) -> Fleet:
@@ -27,17 +27,19 @@
     copies = max(1, upstreams * PLACES // models)
     names = [Model(f"model-{number}") for number in range(models)]
     needs = {
-        name: Need(name, MEMORY, "r1", None, SPEED * copies / 4, copies)
+        name: ModelRequirement(name, MEMORY, "r1", None, SPEED * copies / 4, copies)
         for name in names
     }
     sites = []
     for number in range(upstreams):
         held = [names[(number * PLACES + i) % models] for i in range(PLACES)]
         kept = [] if number >= upstreams - lost else held
-        placed = {name: Placed(PlacedState.SERVING, MEMORY, "r1") for name in kept}
+        placed = {name: PlacedCopy(CopyPhase.SERVING, MEMORY, "r1") for name in kept}
         free = CAPACITY - MEMORY * len(placed)
         upstream, zone = Upstream(f"up-{number}"), Zone(f"zone-{number % ZONES}")
-        sites.append(Site(upstream, zone, CAPACITY, free, True, False, placed))
+        sites.append(
+            PlacementTarget(upstream, zone, CAPACITY, free, True, False, placed)
+        )
     return needs, sites
 
 
--- a/tests/test_decide_fairness.py
+++ b/tests/test_decide_fairness.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from persimmonhitch.decide.fairness import FairQueue, Waiting
+from persimmonhitch.decide.fairness import FairQueue, QueuedRequest
 from persimmonhitch.wire.messages import Priority
 
 BATCH = Priority.BATCH
@@ -10,7 +10,7 @@
 
 def waiting(name, account="a", cost=100.0, at=0.0, time=60.0, weight=1.0, **more):
     priority = more.pop("priority", Priority.INTERACTIVE)
-    return Waiting(name, account, weight, priority, cost, at + time, at, **more)
+    return QueuedRequest(name, account, weight, priority, cost, at + time, at, **more)
 
 
 def fill(queue, *items):
@@ -53,7 +53,7 @@
     """
     queue = fill(FairQueue(), *(waiting(f"a{n}") for n in range(500)))
     served(queue, 1000)
-    assert queue.ahead("b", 1.0) <= 100.0
+    assert queue.backlog("b", 1.0) <= 100.0
     queue.push(waiting("b0", "b"))
     assert "b" in {queue.pop(0.0).account for _ in range(2)}
 
@@ -101,7 +101,7 @@
 
 def test_what_can_no_longer_finish_leaves_at_once():
     """A request's time runs out while it waits; its caller hears so at once."""
-    queue = fill(FairQueue(), waiting("a", time=5.0, needs=2.0), waiting("b"))
+    queue = fill(FairQueue(), waiting("a", time=5.0, service_s=2.0), waiting("b"))
     assert [item.request for item in queue.expire(3.0)] == ["a"]
     assert (len(queue), queue.tokens) == (1, 100.0)
 
--- a/tests/test_decide_load.py
+++ b/tests/test_decide_load.py
@@ -7,7 +7,7 @@
 from persimmonhitch.decide.admission import LoadView, admit
 from persimmonhitch.decide.concurrency import ConcurrencyLimit
 from persimmonhitch.decide.retries import RetryBudget, may_retry
-from persimmonhitch.decide.shift import warmup_weight
+from persimmonhitch.decide.warmup import warmup_share
 from persimmonhitch.verdict import ErrorCode, Failure, Verdict
 from persimmonhitch.wire.messages import Priority
 
@@ -28,7 +28,7 @@
     """Work arrives faster than it is served; what can't finish hears so at once."""
     result = admit(view, 100.0, left, Priority.INTERACTIVE, needs)
     if isinstance(result, Success):
-        assert result.unwrap().wait == pytest.approx(expected)
+        assert result.unwrap().wait_s == pytest.approx(expected)
         return
     assert isinstance(result, Err)
     exc = result.failure()
@@ -96,20 +96,20 @@
     retried = 0
     for number in range(1000):
         budget.on_request(number / 100)
-        retried += budget.take(number / 100)
+        retried += budget.try_spend(number / 100)
     assert 100 <= retried <= 130
 
 
 def test_quiet_entry_may_retry():
     budget = RetryBudget()
-    assert all(budget.take(float(second)) for second in range(60))
+    assert all(budget.try_spend(float(second)) for second in range(60))
 
 
 @pytest.mark.parametrize(
     ("age", "share"), [(-1, 0.2), (0, 0.2), (5, 0.6), (10, 1.0), (99, 1.0)]
 )
 def test_new_copy_gets_traffic_by_degrees(age, share):
-    assert warmup_weight(age) == pytest.approx(share)
+    assert warmup_share(age) == pytest.approx(share)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_decide_processes.py
+++ b/tests/test_decide_processes.py
@@ -19,18 +19,18 @@
 
 CALL_SITES = {
     "admission.admit": "sidecar/dispatch.py",
-    "admission.queue_full": "sidecar/dispatch.py",
-    "admission.expired": "sidecar/dispatch.py",
+    "admission.queue_full_refusal": "sidecar/dispatch.py",
+    "admission.deadline_refusal": "sidecar/dispatch.py",
     "admission.ServiceRate": "sidecar/load.py",
     "fairness.FairQueue": "sidecar/dispatch.py",
     "concurrency.ConcurrencyLimit": "sidecar/load.py",
     "routing.choose": "entry/router.py",
     "routing.UpstreamLoad": "entry/sidecar_conn.py",
     "outliers.OutlierDetector": "entry/router.py",
-    "shift.warmup_weight": "entry/router.py",
+    "warmup.warmup_share": "entry/router.py",
     "retries.RetryBudget": "entry/forward.py",
     "retries.may_retry": "entry/forward.py",
-    "admission.connections_full": "entry/main.py",
+    "admission.connections_refusal": "entry/main.py",
     "waiting.MissingCopies": "entry/router.py",
 }
 
--- a/tests/test_decide_routing.py
+++ b/tests/test_decide_routing.py
@@ -36,11 +36,11 @@
     ("others", "low", "high"),
     [
         ({"zone": "z2"}, 0.99, 1.0),
-        ({"zone": "z2", "warm_prefix": 100.0}, 0.0, 0.01),
-        ({"zone": "z1", "work": 100.0}, 0.99, 1.0),
-        ({"zone": "z1", "work": 100.0, "warm_prefix": 200.0}, 0.0, 0.01),
-        ({"zone": "z1", "work": 400.0, "warm_prefix": 250.0}, 0.99, 1.0),
-        ({"zone": "z1", "share": 0.0, "warm_prefix": 250.0}, 1.0, 1.0),
+        ({"zone": "z2", "cached_prefix": 100.0}, 0.0, 0.01),
+        ({"zone": "z1", "pending": 100.0}, 0.99, 1.0),
+        ({"zone": "z1", "pending": 100.0, "cached_prefix": 200.0}, 0.0, 0.01),
+        ({"zone": "z1", "pending": 400.0, "cached_prefix": 250.0}, 0.99, 1.0),
+        ({"zone": "z1", "share": 0.0, "cached_prefix": 250.0}, 1.0, 1.0),
     ],
 )
 def test_choice_between_two(others, low, high):
@@ -54,15 +54,15 @@
 
 
 def test_warming_copy_gets_its_share():
-    got = shares([replace(IDLE, share=0.3), replace(IDLE, upstream="u2", work=500)])
+    got = shares([replace(IDLE, share=0.3), replace(IDLE, upstream="u2", pending=500)])
     assert got["u1"] == pytest.approx(0.3, abs=0.04)
 
 
 def test_adapter_affinity_is_bounded():
     req = replace(REQ, adapter="x")
     cold = replace(IDLE, has_adapter=False)
-    near = replace(IDLE, upstream="u2", work=90.0)
-    far = replace(IDLE, upstream="u2", work=500.0)
+    near = replace(IDLE, upstream="u2", pending=90.0)
+    far = replace(IDLE, upstream="u2", pending=500.0)
     assert shares([cold, near], req)["u2"] > 0.99
     assert shares([cold, far], req)["u2"] < 0.01
 
@@ -82,7 +82,7 @@
     counts = Counter()
     for number in range(400):
         view = entries[number % 8]
-        candidates = [Candidate(n, "z", v.work, v.rate) for n, v in view.items()]
+        candidates = [Candidate(n, "z", v.pending, v.rate) for n, v in view.items()]
         chosen = choose(candidates, REQ, rng).upstream
         view[chosen].on_send(300.0)
         counts[chosen] += 1
@@ -101,9 +101,9 @@
     load.on_report(report(rate=5.0))
     assert load.rate == pytest.approx(800, abs=1)
     load.on_send(300.0)
-    assert load.work == 300.0
+    assert load.pending == 300.0
     load.on_done(300.0)
-    assert load.work == 0.0
+    assert load.pending == 0.0
 
 
 @pytest.mark.parametrize("rate", [0.0, 20.0])
@@ -119,7 +119,7 @@
     assert load.rate == rate
     for _ in range(30):
         load.on_report(report())
-    busy = replace(IDLE, work=3000.0, rate=800.0)
+    busy = replace(IDLE, pending=3000.0, rate=800.0)
     assert shares([busy, replace(IDLE, upstream="u2", rate=load.rate)])["u2"] == 1.0
 
 
@@ -129,8 +129,8 @@
     Guessed slower than the busy one, the peer would get less than half of the work
     while the other queues (play, pattern flood).
     """
-    seen = replace(IDLE, work=1500.0, rate=2500.0)
-    assert shares([seen, replace(IDLE, upstream="u2", work=900.0)])["u2"] == 1.0
+    seen = replace(IDLE, pending=1500.0, rate=2500.0)
+    assert shares([seen, replace(IDLE, upstream="u2", pending=900.0)])["u2"] == 1.0
 
 
 COPIES = {"m": ("u0", "u1", "u2", "u3", "u4", "u5")}
@@ -149,7 +149,7 @@
         f"{model}/{upstream}"
         for model, peers in copies.items()
         for upstream in peers
-        if detector.share(now, upstream, model) < 1.0
+        if detector.traffic_share(now, upstream, model) < 1.0
     ]
 
 
@@ -194,15 +194,15 @@
     for _ in range(5):
         detector.on_failure("u1")
     detector.update(1.0, COPIES)
-    got = [detector.share(now, "u1", "m") for now in (5.0, 11.0, 16.0, 21.0)]
+    got = [detector.traffic_share(now, "u1", "m") for now in (5.0, 11.0, 16.0, 21.0)]
     assert got == pytest.approx([0.0, 0.1, 0.55, 1.0])
 
 
 def test_upstream_that_is_still_slow_stays_out_longer():
     detector = OutlierDetector()
     play_latency(detector, {"u1": 5.0}, seconds=3)
-    assert detector.share(3.0, "u1", "m") == 0.0
+    assert detector.traffic_share(3.0, "u1", "m") == 0.0
     play_latency(detector, {"u1": 5.0}, start=14.0, seconds=3)
-    assert detector.share(30.0, "u1", "m") == 0.0
-    detector.forget("u1")
-    assert detector.share(30.0, "u1", "m") == 1.0
+    assert detector.traffic_share(30.0, "u1", "m") == 0.0
+    detector.remove("u1")
+    assert detector.traffic_share(30.0, "u1", "m") == 1.0
--- a/tests/test_decide_waiting.py
+++ b/tests/test_decide_waiting.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from persimmonhitch.decide.admission import READY_THREADS, connections_full
+from persimmonhitch.decide.admission import RESERVED_THREADS, connections_refusal
 from persimmonhitch.decide.waiting import FIRST_LOAD, LEAST_LEFT, MissingCopies
 from persimmonhitch.verdict import ErrorCode, Verdict
 
@@ -43,5 +43,5 @@
 
 @pytest.mark.parametrize(("spare", "refused"), [(1, True), (0, False)])
 def test_a_full_entry_still_answers(spare, refused):
-    failure = connections_full(128 - READY_THREADS + spare, 128)
+    failure = connections_refusal(128 - RESERVED_THREADS + spare, 128)
     assert (failure is not None) is refused
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from persimmonhitch.decide.board import Need
-from persimmonhitch.decide.copy_count import HOLD, CopyCount, DemandTrack
+from persimmonhitch.decide.copy_count import REMOVAL_WAIT_S, CopyCount, SmoothedDemand
 from persimmonhitch.decide.pacing import LoadPacer, RetryDelay
 from persimmonhitch.decide.placement import Move, Reason, make_plan, plan
+from persimmonhitch.decide.targets import ModelRequirement
 from persimmonhitch.ids import Model, Upstream
 from persimmonhitch.play.placement_fleet import Fleet
 from persimmonhitch.standin.weights import WeightStore
@@ -16,7 +16,7 @@
 
 
 def need(name, memory=40.0, wanted=1, demand=1.0, base=None, revision="1", least=1):
-    return Need(Model(name), memory, revision, base, demand, wanted, least)
+    return ModelRequirement(Model(name), memory, revision, base, demand, wanted, least)
 
 
 def needs_of(*needs):
@@ -34,7 +34,7 @@
     for _ in range(rounds):
         moves = plan(needs, fleet.sites(needs), SPEED)
         for move in moves:
-            if not move.load and move.reason is not Reason.RETIRED:
+            if not move.is_load and move.reason is not Reason.RETIRED:
                 fleet_copies = len(fleet.serving(move.model))
                 assert fleet_copies > 1, f"{move} takes the last copy"
         fleet.apply(moves, needs)
@@ -84,7 +84,7 @@
     fleet = fleet_of(3)
     sites = fleet.sites(needs)
     moves = plan(needs, sites, SPEED)
-    assert [m.reason for m in moves if m.load][:2] == [Reason.UNREACHABLE] * 2
+    assert [m.reason for m in moves if m.is_load][:2] == [Reason.UNREACHABLE] * 2
     settle(fleet, needs)
     (home,) = fleet.serving(Model("a"))
     del fleet.upstreams[home]
@@ -103,7 +103,7 @@
     (home,) = fleet.serving(Model("a"))
     fleet.upstreams[home].draining = True
     (move,) = plan(needs, fleet.sites(needs), SPEED)
-    assert move.load and move.upstream != home
+    assert move.is_load and move.upstream != home
 
 
 def test_scattered_memory_is_joined_for_a_model_nobody_can_reach():
@@ -182,7 +182,7 @@
         for site in fleet.sites(needs)
     ]
     planned = make_plan(needs, held, SPEED)
-    assert (planned.moves, planned.stuck) == ((), ())
+    assert (planned.moves, planned.unplaced) == ((), ())
 
 
 def test_an_old_revision_does_not_hold_the_place_of_a_spare():
@@ -198,7 +198,7 @@
     fleet.apply(plan(needs, fleet.sites(needs), SPEED), needs)
     fleet.now += 2.0
     (move,) = plan(needs, fleet.sites(needs), SPEED)
-    assert (move.load, move.upstream, move.revision) == (False, home, "1")
+    assert (move.is_load, move.upstream, move.revision) == (False, home, "1")
 
 
 def test_a_model_without_room_is_named():
@@ -212,7 +212,7 @@
     needs = {**needs, **needs_of(need("c", 80.0))}
     planned = make_plan(needs, fleet.sites(needs), SPEED)
     assert planned.moves == ()
-    assert planned.stuck == ((Model("c"), Reason.UNREACHABLE),)
+    assert planned.unplaced == ((Model("c"), Reason.UNREACHABLE),)
 
 
 def test_adapters_get_another_base_when_the_first_has_no_room():
@@ -236,7 +236,7 @@
 
 
 def test_demand_rises_fast_and_falls_slowly():
-    track = DemandTrack()
+    track = SmoothedDemand()
     track.update(100.0, 0.0)
     assert track.update(1000.0, 35.0) > 900.0
     assert track.update(0.0, 95.0) > 800.0
@@ -249,8 +249,8 @@
         ([(0, 100.0)], 1),
         ([(0, 120.0)], 2),
         ([(0, 1000.0), (1, 10.0)], 5),
-        ([(0, 1000.0), (HOLD, 10.0), (2 * HOLD, 10.0)], 3),
-        ([(0, 1000.0), (HOLD, 700.0), (2 * HOLD, 700.0)], 5),
+        ([(0, 1000.0), (REMOVAL_WAIT_S, 10.0), (2 * REMOVAL_WAIT_S, 10.0)], 3),
+        ([(0, 1000.0), (REMOVAL_WAIT_S, 700.0), (2 * REMOVAL_WAIT_S, 700.0)], 5),
     ],
 )
 def test_copies_wanted(demands, wanted):
@@ -288,7 +288,7 @@
 
 def test_unloads_are_not_paced_and_failures_back_off():
     pacer = LoadPacer(0.1, 1, 1)
-    unload = replace(load_of("m"), load=False)
+    unload = replace(load_of("m"), is_load=False)
     assert list(pacer.admit([unload] * 3, frozenset(), 9, 9, 0.0)) == [unload] * 3
     delay, place = RetryDelay(), (Model("m"), Upstream("u"))
     delay.failed(place, 0.0)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -3,9 +3,9 @@
 import pytest
 
 from persimmonhitch.catalog.model import Catalog, ModelEntry
-from persimmonhitch.decide.board import PlacedState
 from persimmonhitch.decide.pacing import LoadPacer
 from persimmonhitch.decide.placement import Move, Reason
+from persimmonhitch.decide.targets import CopyPhase
 from persimmonhitch.entry.directory import SidecarInfo
 from persimmonhitch.ids import Epoch, Model, Upstream
 from persimmonhitch.planner.fleet import SILENCE, FleetView, OpenOrder
@@ -204,16 +204,16 @@
             assert fleet.opened(UP, link)
             assert not fleet.opened(UP, FakeLink())
         (site,) = fleet.sites(Epoch(1), {}, SILENCE)
-        assert (site.open, site.copies[MODEL].state) == (False, PlacedState.LOADING)
+        assert (site.accepting, site.copies[MODEL].phase) == (False, CopyPhase.LOADING)
     assert fleet.sites(Epoch(1), {}, SILENCE + 0.1) == []
 
 
 @pytest.mark.parametrize(
     ("held", "load", "state", "free"),
     [
-        ([], True, PlacedState.LOADING, 90.0),
-        ([(COPY, CopyState.LOADING, 0.0)], True, PlacedState.LOADING, 100.0),
-        ([(COPY, CopyState.LOADED, 0.0)], False, PlacedState.LEAVING, 100.0),
+        ([], True, CopyPhase.LOADING, 90.0),
+        ([(COPY, CopyState.LOADING, 0.0)], True, CopyPhase.LOADING, 100.0),
+        ([(COPY, CopyState.LOADED, 0.0)], False, CopyPhase.UNLOADING, 100.0),
     ],
 )
 def test_orders_under_way_count_before_they_show(held, load, state, free):
@@ -221,7 +221,7 @@
     move = Move(load, MODEL, UP, "1", Reason.DEMAND)
     fleet.members[UP].orders["o"] = OpenOrder(move, 10.0)
     (site,) = fleet.sites(Epoch(1), {}, 0.0)
-    assert (site.copies[MODEL].state, site.free) == (state, free)
+    assert (site.copies[MODEL].phase, site.free) == (state, free)
     fleet.done(UP, OrderDone("o", Epoch(1), ""))
     fleet.heard(holdings(held=held), 1.0)
     assert fleet.members[UP].orders == {}
