--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -28,12 +28,12 @@
 class Held:
     """A lease that this entry holds."""
 
-    before = None
+    predecessor = None
 
     def epoch(self):
         return Epoch(1)
 
-    def free_from(self, _upstream, _began_at):
+    def orders_allowed_at(self, _upstream, _leading_since):
         return 0.0
 
 
