--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -146,15 +146,15 @@
         """Return tokens that are served before a new item of the account."""
         own = self._queues.get(account)
         weight = max(weight, MIN_WEIGHT)
-        queued = own.tokens if own is not None else 0.0
-        served = own.counter if own is not None else self._virtual_time
-        start = max(served, self._virtual_time) + queued / weight
+        own_tokens = own.tokens if own is not None else 0.0
+        own_counter = own.counter if own is not None else self._virtual_time
+        start_counter = max(own_counter, self._virtual_time) + own_tokens / weight
         others = (
-            min(queue.tokens, max(0.0, start - queue.counter) * queue.weight)
+            min(queue.tokens, max(0.0, start_counter - queue.counter) * queue.weight)
             for other, queue in self._queues.items()
             if other != account
         )
-        return queued + sum(others)
+        return own_tokens + sum(others)
 
     def pick_overflow(self) -> QueuedRequest | None:
         """Return the newest item of the account with most work for its weight."""
--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -155,9 +155,9 @@
     min_delay = min(queue_delay(each) for each in sampled)
     sampled += [each for each in available if _has_affinity(each, req, min_delay)]
 
-    def rank(each: Candidate) -> float:
-        penalty = 0.0 if each.zone == req.zone else CROSS_ZONE_PENALTY_S
-        return expected_completion(each, req) + penalty
+    def rank(candidate: Candidate) -> float:
+        penalty = 0.0 if candidate.zone == req.zone else CROSS_ZONE_PENALTY_S
+        return expected_completion(candidate, req) + penalty
 
     return min(sampled, key=rank)
 
--- a/tests/test_decide_load.py
+++ b/tests/test_decide_load.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("view", "left", "needs", "expected"),
+    ("view", "remaining_s", "service_s", "expected"),
     [
         (LoadView(0, 0), 1.0, 0.0, 0.0),
         (LoadView(0, 1000, running=3, limit=8), 1.0, 0.0, 0.0),
@@ -24,9 +24,9 @@
         (LoadView(40000, 1000), 300.0, 0.0, (ErrorCode.OVERLOADED, 10.1)),
     ],
 )
-def test_admission(view, left, needs, expected):
+def test_admission(view, remaining_s, service_s, expected):
     """Work arrives faster than it is served; what can't finish hears so at once."""
-    result = admit(view, 100.0, left, Priority.INTERACTIVE, needs)
+    result = admit(view, 100.0, remaining_s, Priority.INTERACTIVE, service_s)
     if isinstance(result, Success):
         assert result.unwrap().wait_s == pytest.approx(expected)
         return
@@ -42,7 +42,7 @@
     assert isinstance(admit(view, 100.0, 3600.0, Priority.INTERACTIVE), Err)
 
 
-def settle(limit, gap_of, start=0, seconds=60, demand=200):
+def adapt(limit, gap_of, start=0, seconds=60, demand=200):
     """Run an upstream whose gap between tokens depends on how many run."""
     for tick in range(start * 20, (start + seconds) * 20):
         running = min(limit.limit, demand)
@@ -56,21 +56,21 @@
     ("per_request", "demand", "low", "high"),
     [(0.001, 200, 40, 48), (0.004, 200, 8, 13), (0.001, 10, 16, 32)],
 )
-def test_limit_settles_where_the_aim_is_kept(per_request, demand, low, high):
+def test_limit_settles_at_the_latency_target(per_request, demand, low, high):
     """More callers come than an engine can stream to at 54 ms a token."""
     limit = ConcurrencyLimit()
-    assert low <= settle(limit, lambda n: 0.01 + per_request * n, demand=demand) <= high
+    assert low <= adapt(limit, lambda n: 0.01 + per_request * n, demand=demand) <= high
 
 
-def test_limit_falls_when_the_engine_slows_and_recovers():
+def test_limit_follows_the_speed_of_the_engine():
     limit = ConcurrencyLimit()
-    quick = settle(limit, lambda n: 0.01 + 0.001 * n)
-    slow = settle(limit, lambda n: 0.01 + 0.003 * n, start=60)
-    assert slow <= 15 < quick
-    assert settle(limit, lambda n: 0.01 + 0.001 * n, start=120, seconds=90) >= 38
+    fast_limit = adapt(limit, lambda n: 0.01 + 0.001 * n)
+    slow_limit = adapt(limit, lambda n: 0.01 + 0.003 * n, start=60)
+    assert slow_limit <= 15 < fast_limit
+    assert adapt(limit, lambda n: 0.01 + 0.001 * n, start=120, seconds=90) >= 38
 
 
-def test_limit_is_not_taken_down_by_streams_that_only_have_to_end():
+def test_limit_decreases_once_for_streams_already_running():
     """Long streams are slow for many windows while no request starts or ends.
 
     A limit that fell at each of them came down to one, and callers of the next
@@ -83,14 +83,14 @@
     assert limit.limit == 14
 
 
-def test_limit_falls_at_once_on_an_error():
+def test_limit_decreases_immediately_on_an_error():
     limit = ConcurrencyLimit()
     limit.on_start(16)
     limit.on_error(0.0)
     assert limit.limit == 11
 
 
-def test_retries_stay_a_part_of_the_requests():
+def test_retries_are_limited_to_a_share_of_requests():
     """All attempts fail; if each were retried, the fleet would get twice the work."""
     budget = RetryBudget()
     retried = 0
@@ -100,7 +100,7 @@
     assert 100 <= retried <= 130
 
 
-def test_quiet_entry_may_retry():
+def test_entry_with_few_requests_may_retry():
     budget = RetryBudget()
     assert all(budget.try_spend(float(second)) for second in range(60))
 
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize(
     ("age", "share"), [(-1, 0.2), (0, 0.2), (5, 0.6), (10, 1.0), (99, 1.0)]
 )
-def test_new_copy_gets_traffic_by_degrees(age, share):
+def test_new_copy_ramps_up_traffic(age, share):
     assert warmup_share(age) == pytest.approx(share)
 
 
@@ -124,7 +124,7 @@
         (ErrorCode.UPSTREAM_ERROR, Verdict.RAN, True, False),
     ],
 )
-def test_what_may_be_tried_elsewhere(code, verdict, repeatable, expected):
+def test_may_retry(code, verdict, repeatable, expected):
     """A copy is unloaded while a request for it is on its way, or an upstream is
     lost: what did not run, and what may be repeated, is tried at another one.
     """
--- a/tests/test_decide_routing.py
+++ b/tests/test_decide_routing.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "low", "high"),
+    ("second", "low", "high"),
     [
         ({"zone": "z2"}, 0.99, 1.0),
         ({"zone": "z2", "cached_prefix": 100.0}, 0.0, 0.01),
@@ -43,31 +43,31 @@
         ({"zone": "z1", "share": 0.0, "cached_prefix": 250.0}, 1.0, 1.0),
     ],
 )
-def test_choice_between_two(others, low, high):
-    got = shares([IDLE, replace(IDLE, upstream="u2", **others)])
-    assert low <= got["u1"] <= high
+def test_choice_between_two(second, low, high):
+    measured = shares([IDLE, replace(IDLE, upstream="u2", **second)])
+    assert low <= measured["u1"] <= high
 
 
-def test_no_choice_and_only_ejected_choices():
+def test_no_candidates_and_only_ejected_candidates():
     assert choose([], REQ, Random(1)) is None
     assert choose([replace(IDLE, share=0.0)], REQ, Random(1)) is not None
 
 
-def test_warming_copy_gets_its_share():
+def test_warming_copy_receives_its_traffic_share():
     got = shares([replace(IDLE, share=0.3), replace(IDLE, upstream="u2", pending=500)])
     assert got["u1"] == pytest.approx(0.3, abs=0.04)
 
 
 def test_adapter_affinity_is_bounded():
     req = replace(REQ, adapter="x")
-    cold = replace(IDLE, has_adapter=False)
-    near = replace(IDLE, upstream="u2", pending=90.0)
-    far = replace(IDLE, upstream="u2", pending=500.0)
-    assert shares([cold, near], req)["u2"] > 0.99
-    assert shares([cold, far], req)["u2"] < 0.01
+    without_adapter = replace(IDLE, has_adapter=False)
+    lightly_loaded = replace(IDLE, upstream="u2", pending=90.0)
+    heavily_loaded = replace(IDLE, upstream="u2", pending=500.0)
+    assert shares([without_adapter, lightly_loaded], req)["u2"] > 0.99
+    assert shares([without_adapter, heavily_loaded], req)["u2"] < 0.01
 
 
-def test_same_old_report_does_not_herd_entries():
+def test_shared_report_does_not_cause_herding():
     """Eight entries hold the same report for a second while 400 requests come.
 
     If they trusted it alone, all would send to the upstream it calls idle, whose
@@ -89,7 +89,7 @@
     assert max(counts.values()) <= 1.5 * 400 / 6
 
 
-def test_idle_upstream_does_not_look_slow():
+def test_low_rate_of_an_idle_upstream_is_ignored():
     """An upstream with nothing to do reports few tokens a second.
 
     Taken as its speed, this would send a burst to the upstreams that are busy.
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("rate", [0.0, 20.0])
-def test_upstream_is_not_taken_for_slow_for_ever(rate):
+def test_low_rate_expires_while_the_upstream_is_idle(rate):
     """A sidecar reports no rate yet, or one that was low once, and then idles.
 
     Its expected completion would stay minutes away, nobody would send it anything,
@@ -123,27 +123,27 @@
     assert shares([busy, replace(IDLE, upstream="u2", rate=load.rate)])["u2"] == 1.0
 
 
-def test_upstream_never_seen_busy_counts_as_fast_as_its_peers():
+def test_unknown_rate_defaults_to_the_fastest_peer():
     """One upstream was busy and showed its speed, its peer never had to.
 
     Guessed slower than the busy one, the peer would get less than half of the work
     while the other queues (play, pattern flood).
     """
-    seen = replace(IDLE, pending=1500.0, rate=2500.0)
-    assert shares([seen, replace(IDLE, upstream="u2", pending=900.0)])["u2"] == 1.0
+    busy = replace(IDLE, pending=1500.0, rate=2500.0)
+    assert shares([busy, replace(IDLE, upstream="u2", pending=900.0)])["u2"] == 1.0
 
 
 COPIES = {"m": ("u0", "u1", "u2", "u3", "u4", "u5")}
 
 
-def play_latency(detector, slow, copies=COPIES, start=0.0, seconds=5, usual=0.03):
+def run_latency(detector, factors, copies=COPIES, start=0.0, seconds=5, gap_s=0.03):
     """Feed latencies; ``slow`` maps upstreams to their factor."""
     for tick in range(int(seconds * 10)):
         now = start + tick / 10
         for model, peers in copies.items():
             for upstream in peers:
-                seconds_seen = usual * slow.get(upstream, 1.0) * (1 + tick % 3 / 10)
-                detector.on_latency(now, upstream, model, seconds_seen)
+                measured_s = gap_s * factors.get(upstream, 1.0) * (1 + tick % 3 / 10)
+                detector.on_latency(now, upstream, model, measured_s)
         detector.update(now, copies)
     return [
         f"{model}/{upstream}"
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    ("slow", "copies", "out"),
+    ("factors", "copies", "ejected"),
     [
         ({}, COPIES, []),
         ({"u1": 1.5}, COPIES, []),
@@ -168,29 +168,29 @@
         ({"u0": 5.0}, {"n": ("u0",)}, []),
     ],
 )
-def test_slow_against_peers(slow, copies, out):
+def test_slow_upstreams_are_ejected(factors, copies, ejected):
     """One upstream slows down, or all do under load, or the only copy does.
 
     Without ejection callers wait at the slow one; with too much of it the rest drown
     or a model has no copy left.
     """
-    assert play_latency(OutlierDetector(), slow, copies) == out
+    assert run_latency(OutlierDetector(), factors, copies) == ejected
 
 
-def test_busy_upstream_is_no_outlier_beside_idle_ones():
+def test_busy_upstream_with_idle_peers_is_not_ejected():
     """One upstream has most of the load and its peers idle at a fifth of its latency.
 
     Ejecting it would send a popular model's callers to the upstream that is next
     busiest, and so on, until most of the fleet stands idle.
     """
     detector = OutlierDetector()
-    assert play_latency(detector, {"u1": 5.0}, usual=0.009) == []
+    assert run_latency(detector, {"u1": 5.0}, gap_s=0.009) == []
 
 
-def test_failing_upstream_is_ejected_and_returns_by_degrees():
+def test_failing_upstream_is_ejected_and_ramps_up_again():
     """An upstream fails every call for a while, then is well again."""
     detector = OutlierDetector()
-    play_latency(detector, {}, seconds=1)
+    run_latency(detector, {}, seconds=1)
     for _ in range(5):
         detector.on_failure("u1")
     detector.update(1.0, COPIES)
@@ -198,11 +198,11 @@
     assert got == pytest.approx([0.0, 0.1, 0.55, 1.0])
 
 
-def test_upstream_that_is_still_slow_stays_out_longer():
+def test_repeated_ejection_lasts_longer():
     detector = OutlierDetector()
-    play_latency(detector, {"u1": 5.0}, seconds=3)
+    run_latency(detector, {"u1": 5.0}, seconds=3)
     assert detector.traffic_share(3.0, "u1", "m") == 0.0
-    play_latency(detector, {"u1": 5.0}, start=14.0, seconds=3)
+    run_latency(detector, {"u1": 5.0}, start=14.0, seconds=3)
     assert detector.traffic_share(30.0, "u1", "m") == 0.0
     detector.remove("u1")
     assert detector.traffic_share(30.0, "u1", "m") == 1.0
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,8 +15,8 @@
 SPEED = 400.0
 
 
-def need(name, memory=40.0, wanted=1, demand=1.0, base=None, revision="1", least=1):
-    return ModelRequirement(Model(name), memory, revision, base, demand, wanted, least)
+def need(name, memory=40.0, wanted=1, demand=1.0, base=None, revision="1", floor=1):
+    return ModelRequirement(Model(name), memory, revision, base, demand, wanted, floor)
 
 
 def needs_of(*needs):
@@ -29,14 +29,14 @@
     return fleet
 
 
-def settle(fleet, needs, rounds=30):
+def run_until_stable(fleet, needs, rounds=30):
     """Plan and carry out until nothing changes; check each unload on the way."""
     for _ in range(rounds):
         moves = plan(needs, fleet.sites(needs), SPEED)
         for move in moves:
             if not move.is_load and move.reason is not Reason.RETIRED:
-                fleet_copies = len(fleet.serving(move.model))
-                assert fleet_copies > 1, f"{move} takes the last copy"
+                serving = len(fleet.serving(move.model))
+                assert serving > 1, f"{move} takes the last copy"
         fleet.apply(moves, needs)
         fleet.now += 2.0
         if not moves:
@@ -44,13 +44,13 @@
     raise AssertionError("placement does not come to rest")
 
 
-def test_every_model_and_adapter_gets_a_copy_and_rest_follows():
+def test_every_model_and_adapter_is_placed():
     needs = needs_of(
         *(need(f"m{i}", 30.0) for i in range(6)),
         *(need(f"m0-x{i}", 2.0, base=Model("m0")) for i in range(5)),
     )
     fleet = fleet_of(3)
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     assert fleet.unreachable(needs) == []
     assert fleet.loads == 11
     assert fleet.unloads == 0
@@ -59,23 +59,23 @@
 @pytest.mark.parametrize("zones", [2, 3])
 def test_copies_spread_over_zones(zones):
     fleet = fleet_of(6, zones)
-    settle(fleet, needs_of(need("m", wanted=zones)))
-    held = {fleet.upstreams[u].zone for u in fleet.serving(Model("m"))}
-    assert len(held) == zones
+    run_until_stable(fleet, needs_of(need("m", wanted=zones)))
+    used_zones = {fleet.upstreams[u].zone for u in fleet.serving(Model("m"))}
+    assert len(used_zones) == zones
 
 
 def test_surplus_copies_stay_until_their_memory_is_needed():
     fleet = fleet_of(2)
-    settle(fleet, needs_of(need("a", wanted=2)))
+    run_until_stable(fleet, needs_of(need("a", wanted=2)))
     needs = needs_of(need("a"), need("b"), need("c"))
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     assert fleet.unloads == 0
     needs = needs_of(need("a"), need("b"), need("c"), need("d"))
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     assert (fleet.unloads, fleet.unreachable(needs)) == (1, [])
 
 
-def test_a_dead_upstream_makes_its_models_come_first():
+def test_models_of_a_dead_upstream_are_loaded_first():
     """An upstream dies with the only copy of a model, while others want more copies.
 
     Callers of that model get nothing until it is loaded again, so it goes first.
@@ -85,7 +85,7 @@
     sites = fleet.sites(needs)
     moves = plan(needs, sites, SPEED)
     assert [m.reason for m in moves if m.is_load][:2] == [Reason.UNREACHABLE] * 2
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     (home,) = fleet.serving(Model("a"))
     del fleet.upstreams[home]
     first = plan(needs, fleet.sites(needs), SPEED)[0]
@@ -99,14 +99,14 @@
     """
     needs = needs_of(need("a"))
     fleet = fleet_of(2)
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     (home,) = fleet.serving(Model("a"))
     fleet.upstreams[home].draining = True
     (move,) = plan(needs, fleet.sites(needs), SPEED)
     assert move.is_load and move.upstream != home
 
 
-def test_scattered_memory_is_joined_for_a_model_nobody_can_reach():
+def test_fragmented_memory_is_compacted_for_an_unreachable_model():
     """Two upstreams have half of the memory free that a new model needs.
 
     Without moving a sole copy the model could never be loaded.
@@ -123,50 +123,50 @@
     )
     fleet.now = 10.0
     needs = {**needs, **needs_of(need("big", 100.0))}
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     assert fleet.unreachable(needs) == []
     assert fleet.loads == 4
 
 
 @pytest.mark.parametrize(("upstreams", "wanted"), [(2, 1), (3, 2), (4, 3)])
-def test_a_new_revision_serves_before_the_old_one_goes(upstreams, wanted):
+def test_a_new_revision_serves_before_the_old_one_is_unloaded(upstreams, wanted):
     """Operators change a model's revision while callers use it, with room for one
     copy more.
 
     There is no moment in which fewer copies serve than are wanted.
     """
     fleet = fleet_of(upstreams, capacity=50.0)
-    settle(fleet, needs_of(need("a", wanted=wanted)))
+    run_until_stable(fleet, needs_of(need("a", wanted=wanted)))
     needs = needs_of(need("a", wanted=wanted, revision="2"))
     for _ in range(6 * wanted):
         fleet.apply(plan(needs, fleet.sites(needs), SPEED), needs)
         fleet.now += 1.0
         assert len(fleet.serving(Model("a"))) >= wanted
-    held = [key for acc in fleet.upstreams.values() for key in acc.copies]
-    assert held == [(Model("a"), "2")] * wanted
+    copies = [key for acc in fleet.upstreams.values() for key in acc.copies]
+    assert copies == [(Model("a"), "2")] * wanted
 
 
 @pytest.mark.parametrize(
-    "wants",
+    "changed",
     [
-        [need("a", wanted=1, revision="2"), need("b", wanted=2, least=2, demand=500.0)],
-        [need("a", wanted=2, least=2, demand=500.0), need("b", wanted=3, demand=9.0)],
-        [need("c", wanted=1), need("a", wanted=2, least=2), need("b", wanted=2)],
+        [need("a", wanted=1, revision="2"), need("b", wanted=2, floor=2, demand=500.0)],
+        [need("a", wanted=2, floor=2, demand=500.0), need("b", wanted=3, demand=9.0)],
+        [need("c", wanted=1), need("a", wanted=2, floor=2), need("b", wanted=2)],
     ],
 )
-def test_models_do_not_take_room_from_each_other_in_turns(wants):
+def test_models_do_not_evict_each_other_in_a_cycle(changed):
     """All memory is taken, and two models want what only one can have.
 
     If each took the other's copy in turn, both would be loaded without end.
     """
     fleet = fleet_of(3, capacity=40.0)
-    settle(fleet, needs_of(need("a"), need("b", wanted=2)))
-    needs = needs_of(*wants)
-    settle(fleet, needs, rounds=12)
+    run_until_stable(fleet, needs_of(need("a"), need("b", wanted=2)))
+    needs = needs_of(*changed)
+    run_until_stable(fleet, needs, rounds=12)
     assert fleet.unreachable(needs) == []
 
 
-def test_memory_that_comes_free_soon_is_waited_for():
+def test_pending_memory_prevents_further_evictions():
     """A copy was unloaded for a new model, and its memory is held until no order
     for it can arrive any more.
 
@@ -174,25 +174,25 @@
     """
     needs = needs_of(need("a", wanted=1), need("b", wanted=1), need("c"))
     fleet = fleet_of(4, capacity=40.0)
-    settle(fleet, needs_of(need("a", wanted=2), need("b", wanted=2)))
+    run_until_stable(fleet, needs_of(need("a", wanted=2), need("b", wanted=2)))
     (unload,) = plan(needs, fleet.sites(needs), SPEED)
     fleet.apply([unload], needs)
-    held = [
+    targets = [
         replace(site, free=0.0) if site.upstream == unload.upstream else site
         for site in fleet.sites(needs)
     ]
-    planned = make_plan(needs, held, SPEED)
+    planned = make_plan(needs, targets, SPEED)
     assert (planned.moves, planned.unplaced) == ((), ())
 
 
-def test_an_old_revision_does_not_hold_the_place_of_a_spare():
+def test_a_stale_revision_is_unloaded_for_a_spare():
     """All memory is taken, and a model has one copy of each revision and wants a
     spare.
 
     The old copy goes, though no second new one has room beside it.
     """
     fleet = fleet_of(2, capacity=40.0)
-    settle(fleet, needs_of(need("a")))
+    run_until_stable(fleet, needs_of(need("a")))
     (home,) = fleet.serving(Model("a"))
     needs = needs_of(need("a", wanted=2, revision="2"))
     fleet.apply(plan(needs, fleet.sites(needs), SPEED), needs)
@@ -201,14 +201,14 @@
     assert (move.is_load, move.upstream, move.revision) == (False, home, "1")
 
 
-def test_a_model_without_room_is_named():
+def test_a_model_without_room_is_reported():
     """All memory is taken by sole copies, and operators add one more model.
 
     Nothing may go for it, so the operators are told which model waits.
     """
     needs = needs_of(need("a", 80.0), need("b", 80.0))
     fleet = fleet_of(2)
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     needs = {**needs, **needs_of(need("c", 80.0))}
     planned = make_plan(needs, fleet.sites(needs), SPEED)
     assert planned.moves == ()
@@ -220,19 +220,19 @@
     adapters = [need(f"b-x{i}", 20.0, base=base) for i in range(5)]
     needs = needs_of(need("b", 40.0), *adapters)
     fleet = fleet_of(2)
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     assert fleet.unreachable(needs) == []
     assert len(fleet.serving(base)) == 2
 
 
-def test_a_hot_upstream_gets_help_and_no_new_hot_one_arises():
+def test_a_hotspot_is_relieved_without_creating_another():
     needs = needs_of(need("a", demand=300.0), need("b", demand=300.0))
     fleet = fleet_of(1)
-    settle(fleet, needs)
+    run_until_stable(fleet, needs)
     fleet.add(1, 2, 100.0)
-    settle(fleet, needs)
-    held = [sorted(acc.copies) for acc in fleet.upstreams.values()]
-    assert held == [[(Model("a"), "1"), (Model("b"), "1")]] * 2
+    run_until_stable(fleet, needs)
+    copies = [sorted(acc.copies) for acc in fleet.upstreams.values()]
+    assert copies == [[(Model("a"), "1"), (Model("b"), "1")]] * 2
 
 
 def test_demand_rises_fast_and_falls_slowly():
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rate", "under_way", "started"),
+    ("rate", "in_progress", "started"),
     [
         (100.0, (0, 0), ["m1", "m2", "x1", "x2"]),
         (100.0, (2, 0), ["x1", "x2"]),
@@ -273,7 +273,7 @@
         (0.5, (0, 0), ["m1"]),
     ],
 )
-def test_loads_start_at_the_pace_of_the_weight_store(rate, under_way, started):
+def test_loads_are_paced_to_the_weight_store(rate, in_progress, started):
     """A zone is lost and every model on it is wanted at once.
 
     More loads than the store carries slow each other down, the urgent ones too.
@@ -282,7 +282,7 @@
     adapters = frozenset(Model(f"x{i}") for i in range(9))
     list(pacer.admit([], adapters, 0, 0, 0.0))
     moves = [load_of(name) for name in ("m1", "m2", "m3", "x1", "x2")]
-    admitted = pacer.admit(moves, adapters, *under_way, 1.0)
+    admitted = pacer.admit(moves, adapters, *in_progress, 1.0)
     assert [move.model for move in admitted] == started
 
 
@@ -290,9 +290,9 @@
     pacer = LoadPacer(0.1, 1, 1)
     unload = replace(load_of("m"), is_load=False)
     assert list(pacer.admit([unload] * 3, frozenset(), 9, 9, 0.0)) == [unload] * 3
-    delay, place = RetryDelay(), (Model("m"), Upstream("u"))
-    delay.failed(place, 0.0)
-    delay.failed(place, 5.0)
-    assert (delay.blocked(8.9), delay.blocked(9.0)) == ({place}, set())
-    delay.succeeded(place)
+    delay, slot = RetryDelay(), (Model("m"), Upstream("u"))
+    delay.failed(slot, 0.0)
+    delay.failed(slot, 5.0)
+    assert (delay.blocked(8.9), delay.blocked(9.0)) == ({slot}, set())
+    delay.succeeded(slot)
     assert delay.blocked(0.0) == set()
