--- a/src/persimmonhitch/decide/__init__.py
+++ b/src/persimmonhitch/decide/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: pure code, without network, clock or threads."""
+"""Decisions under load: pure functions without network, clock or threads."""
--- a/src/persimmonhitch/decide/admission.py
+++ b/src/persimmonhitch/decide/admission.py
@@ -1,16 +1,17 @@
-"""What is let in, what waits, and what is refused at once.
-
-Load pattern: saturation and bursts. A queue without bounds takes on work that its
-callers have given up by the time it runs; a queue bounded by count refuses a burst of
-short requests that would have been served in time and takes giant ones that won't.
-Here the bound is time: the wait predicted from tokens that go before the request and
-from the rate at which the upstream has been seen to serve tokens. What can't finish
-before its deadline is refused at once, with when to come back; what can, waits.
-
-A prediction errs. The wait is counted at ``TRUST`` of its estimate, because a refusal
-of a request that would have made it is a lost booking, whereas one let in too many is
-found out by ``FairQueue.expire`` while it waits. ``QUEUE_SECONDS`` bounds what waits at
-one upstream when callers set no deadline worth the name.
+"""Admission control at one upstream: run, queue or refuse a request.
+
+Load pattern: saturation and bursts. An unbounded queue accepts requests whose callers
+have given up by the time they run. A queue bounded by the number of requests refuses a
+burst of short requests that would finish in time, and accepts a few huge requests that
+won't. This queue is bounded by time: the predicted wait is the number of tokens queued
+ahead of the request, divided by the rate at which the upstream has served tokens. A
+request that can't finish before its deadline is refused at once, with a time after
+which to retry; every other request may wait.
+
+Only ``WAIT_ESTIMATE_WEIGHT`` of the predicted wait counts, because predictions err in
+both directions: a refused request that would have finished is a lost booking, whereas
+``FairQueue.expire`` finds a wrongly admitted request while it waits. ``MAX_QUEUE_S``
+bounds the queue of an upstream for callers whose deadlines are far too long.
 """
 
 from dataclasses import dataclass
@@ -29,29 +30,29 @@
 MAX_RETRY_AFTER_S: Final = 60.0
 MIN_RATE: Final = 1.0
 RESERVED_THREADS: Final = 4
-"""Threads of an entry that only answer at once: refusals, health, metrics."""
+"""Threads of an entry that stay free for refusals, health checks and metrics."""
 EXPECTED_OUTPUT_SHARE: Final = 0.25
-"""Part of the allowed output that a request is sure enough to use."""
+"""Share of its maximum output that a request is assumed to produce."""
 RATE_WINDOW_S: Final = 1.0
 EWMA_WEIGHT: Final = 0.3
-"""Weight of the newest window in the service rate."""
+"""Weight of the newest window in the moving average of the service rate."""
 
 
 @dataclass(frozen=True)
 class LoadView:
-    """Load of one upstream as the decider knows it.
+    """Load of one upstream, as known where admission is decided.
 
     Attributes
     ----------
     ahead : float
-        Tokens that wait and are served before the request.
+        Queued tokens that are served before the request.
     rate : float
-        Tokens a second, prompt and output, that the upstream serves when busy;
-        0 when it has not been seen busy yet.
+        Tokens per second, prompt and output, that the upstream serves when busy;
+        0 if it has not been busy yet.
     first_token : float
-        Seconds from the upstream's start until the first token.
+        Seconds from the start of a request at the upstream to its first token.
     running, limit : int
-        Requests that run, and how many may.
+        Number of running requests, and its upper bound.
     """
 
     backlog: float
@@ -62,7 +63,7 @@
 
     @property
     def wait_s(self) -> float:
-        """Return the seconds that a new request is predicted to wait."""
+        """Return the predicted wait of a new request in seconds."""
         if self.rate <= 0.0 or (self.backlog <= 0.0 and self.running < self.limit):
             return 0.0
         return self.backlog / max(self.rate, MIN_RATE)
@@ -70,31 +71,31 @@
 
 @dataclass(frozen=True)
 class Admitted:
-    """A request is let in; ``wait`` is the predicted wait in seconds."""
+    """An admitted request; ``wait_s`` is its predicted wait in seconds."""
 
     wait_s: float
 
 
 def max_queue_tokens(rate: float, priority: Priority = Priority.INTERACTIVE) -> float:
-    """Return how many tokens may wait at an upstream that serves at ``rate``."""
+    """Return the maximum number of queued tokens at a service rate of ``rate``."""
     is_batch = priority is Priority.BATCH
     max_wait_s = MAX_BATCH_QUEUE_S if is_batch else MAX_QUEUE_S
     return max(rate, MIN_RATE) * max_wait_s
 
 
 def retry_after(excess_s: float) -> float:
-    """Return when to come back, for a wait that is ``excess`` seconds too long."""
+    """Return the seconds after which to retry a wait too long by ``excess_s``."""
     return min(max(excess_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
 
 def queue_full_refusal(tokens: float, rate: float) -> Failure:
-    """Return the refusal of a request that the full queue can't hold."""
+    """Return the refusal of a request that exceeds the bound of the queue."""
     retry_s = retry_after(tokens / max(rate, MIN_RATE))
     return _refusal(ErrorCode.OVERLOADED, "the queue is full", retry_s)
 
 
 def deadline_refusal(tokens: float, rate: float) -> Failure:
-    """Return the refusal of a request whose time ran out in the queue."""
+    """Return the refusal of a request whose deadline passed in the queue."""
     retry_s = retry_after(tokens / max(rate, MIN_RATE))
     return _refusal(ErrorCode.DEADLINE, "the deadline passed in the queue", retry_s)
 
@@ -106,20 +107,20 @@
     priority: Priority,
     service_s: float = 0.0,
 ) -> Result[Admitted, Failure]:
-    """Decide whether a request is let in.
+    """Decide whether to admit a request.
 
     Parameters
     ----------
     view : LoadView
-        Load of the upstream that would run it.
+        Load of the upstream that would run the request.
     cost : float
         Tokens reserved for the request.
     deadline_left : float
-        Seconds until its deadline.
+        Seconds until the deadline of the request.
     priority : Priority
-        Its class.
+        Priority class of the request.
     needs : float
-        Seconds of service it needs once started, 0 when unknown.
+        Expected service time once started, in seconds; 0 if unknown.
     """
     if remaining_s <= service_s:
         return Err(_refusal(ErrorCode.DEADLINE, "too little time left", None))
@@ -140,15 +141,15 @@
 
 
 def expected_service(first_token_s: float, gap_s: float, max_output: float) -> float:
-    """Return the seconds of service that a request is expected to need."""
+    """Return the expected service time of a request in seconds."""
     return first_token_s + gap_s * EXPECTED_OUTPUT_SHARE * max_output
 
 
 class ServiceRate:
-    """Tokens a second that an upstream serves while work waits for it.
+    """Tokens per second that an upstream serves while requests wait for it.
 
-    Counts only while work waits: what an idle upstream serves is what it was asked
-    for, and taken as its speed it would predict long waits for the next burst.
+    An upstream with an empty queue serves only the requested tokens. Measured as its
+    speed, that low rate would predict long waits for the next burst.
     """
 
     def __init__(self) -> None:
@@ -157,7 +158,7 @@
         self._window_tokens = 0.0
 
     def on_start(self, now: float, cost: float, waiting: int) -> None:
-        """Note a request that leaves the queue, and how many wait behind it."""
+        """Record a request that leaves the queue, and the number still waiting."""
         if waiting == 0:
             self._window_start = None
             return
@@ -177,11 +178,11 @@
 
 
 def connections_refusal(open_requests: int, max_requests: int) -> Failure | None:
-    """Return the refusal of a request that an entry has no thread to wait with.
+    """Return a refusal if the entry has no thread to spare for a request, else None.
 
-    Threads for ``READY_THREADS`` requests are kept: with all of them held by long
-    streams, callers would wait unseen in the listener's backlog, and the balancer's
-    look at readiness with them, until it took a healthy entry for dead.
+    ``RESERVED_THREADS`` threads stay free. If long streams occupied all threads, new
+    callers and the load balancer's readiness probe would wait unnoticed in the listen
+    backlog, and the balancer would mark a healthy entry as dead.
     """
     if open_requests <= max_requests - RESERVED_THREADS:
         return None
--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -1,15 +1,15 @@
-"""How many requests an upstream runs at once.
-
-Load pattern: saturation. A batching engine takes on more than it can serve in time:
-every request added makes each step longer, so that all streams become slow together
-and none keeps the promised 54 ms between tokens. A fixed limit is wrong as soon as
-prompts, models or accelerators differ. This limit follows the latency measured:
-it rises while it is in use and the aims are kept, and falls when they are not.
-
-A window needs ``LEAST_SAMPLES`` for a 95th percentile to mean anything. The fall by a
-tenth against a rise by one keeps the limit near the aim with small swings; before the
-first fall the limit doubles, for an engine that has just started must not refuse a
-burst for a minute.
+"""Adaptive limit on the requests that one upstream runs concurrently.
+
+Load pattern: saturation. A batching engine accepts more requests than it can serve in
+time: each additional request lengthens every step, until all streams are slow and none
+meets the promised 54 ms between tokens. No fixed limit fits different prompts, models
+and accelerators. This limit follows the measured latency: it increases while it is
+fully used and the latency targets are met, and decreases when they are missed.
+
+A window needs ``MIN_SAMPLES`` samples for a meaningful 95th percentile. Increases by
+one and decreases by a tenth keep the limit near the target with small oscillations.
+Until the first decrease the limit doubles, so that an engine that has just started
+does not refuse a burst for a minute.
 """
 
 from dataclasses import dataclass
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True)
 class LatencyTargets:
-    """What callers are promised, for 95 in 100.
+    """Latencies promised to callers, as 95th percentiles.
 
     Attributes
     ----------
     first_token : float
-        Seconds from handing a request to the upstream until its first token.
+        Seconds from sending a request to the upstream until its first token.
     gap : float
         Seconds between tokens.
     """
@@ -37,7 +37,17 @@
 
 @dataclass(frozen=True)
 class LimitRange:
-    """Bounds and step sizes of a concurrency limit."""
+    """Bounds and step sizes of a concurrency limit.
+
+    Attributes
+    ----------
+    minimum, initial, maximum : int
+        Number of concurrent requests.
+    window_s : float
+        Seconds over which latencies are collected before an adjustment.
+    decrease, error_decrease : float
+        Factors applied to the limit when a target is missed, and after an error.
+    """
 
     minimum: int = 8
     initial: int = 24
@@ -46,9 +56,9 @@
     decrease: float = 0.9
     error_decrease: float = 0.7
     decrease_above: float = 1.0
-    """Part of an aim above which the limit falls."""
+    """Ratio of measured latency to its target above which the limit decreases."""
     increase_below: float = 0.95
-    """Part of an aim below which there is room to rise."""
+    """Ratio of measured latency to its target up to which the limit may increase."""
 
 
 LATENCY_TARGETS: Final = LatencyTargets()
@@ -56,7 +66,7 @@
 
 
 def percentile(samples: list[float], fraction: float = PERCENTILE) -> float:
-    """Return the value below which ``part`` of the samples lie; 0 for none."""
+    """Return the value below which ``fraction`` of the samples lie, 0 if empty."""
     if not samples:
         return 0.0
     ranked = sorted(samples)
@@ -64,12 +74,12 @@
 
 
 class ConcurrencyLimit:
-    """Limit on requests that run at once, from the latency they have.
+    """Limit on concurrent requests, adapted to their measured latency.
 
     Parameters
     ----------
-    aims : Aims
-        What is promised.
+    targets : LatencyTargets
+        Latencies to keep.
     bounds : LimitRange
         Bounds and step sizes.
     """
@@ -93,31 +103,31 @@
 
     @property
     def limit(self) -> int:
-        """Return how many requests may run at once."""
+        """Return the maximum number of concurrent requests."""
         return int(self._limit)
 
     def on_start(self, running: int) -> None:
-        """Note how many run; a limit that is not in use has no reason to rise."""
+        """Record the number of running requests; an unused limit does not increase."""
         self._running = running
         self._peak = max(self._peak, running)
 
     def on_first_token(self, now: float, seconds: float) -> None:
-        """Note a time to the first token, measured from the upstream's start."""
+        """Record the seconds from the start at the upstream to the first token."""
         self._first_tokens.append(seconds)
         self._adjust_if_due(now)
 
     def on_gap(self, now: float, seconds: float) -> None:
-        """Note a time between two tokens."""
+        """Record the seconds between two tokens."""
         self._token_gaps.append(seconds)
         self._adjust_if_due(now)
 
     def on_done(self, now: float, running: int) -> None:
-        """Note the end of a request, and how many still run."""
+        """Record the end of a request and the number still running."""
         self._running = running
         self._adjust_if_due(now)
 
     def on_error(self, now: float) -> None:
-        """Fall at once when the upstream refuses or fails for want of room."""
+        """Decrease at once if the upstream refused or failed for lack of capacity."""
         self._decrease(self._bounds.error_decrease)
         self._start_window(now)
 
@@ -143,16 +153,18 @@
         self._limit = min(self._limit + step, float(self._bounds.maximum))
 
     def _decrease_if_settled(self) -> None:
-        # After a fall more run than the limit allows until some have ended, and
-        # they are as slow as before. Falling again for them would take the limit
-        # down to one, and callers would queue before an engine with room.
+        # After a decrease, more requests run than the new limit allows until some
+        # end, and all stay slow meanwhile. Further decreases for the same requests
+        # would reduce the limit to its minimum, and callers would queue in front of
+        # an engine with spare capacity.
         if self._running <= self.limit:
             self._decrease(self._bounds.decrease)
 
     def _decrease(self, factor: float) -> None:
         self._slow_start = False
-        # Fall from what ran, or an idle time at a high limit would have to be
-        # walked down step by step while callers wait on slow streams.
+        # Start from the peak of running requests. A high limit left over from an
+        # idle period would otherwise take many steps to reach the actual load,
+        # while callers wait on slow streams.
         in_use = min(self._limit, float(max(self._peak, self._bounds.minimum)))
         self._limit = max(in_use * factor, float(self._bounds.minimum))
 
--- a/src/persimmonhitch/decide/copy_count.py
+++ b/src/persimmonhitch/decide/copy_count.py
@@ -1,22 +1,21 @@
-"""How many copies of each model the demand calls for.
+"""Number of copies of each model that its demand requires.
 
-Load pattern: demand for one model moves tenfold within an hour, and flickers by a
+Load pattern: demand for one model changes tenfold within an hour, and fluctuates by a
 factor of two from one minute to the next.
 
-Without this: a count that follows the demand of the moment loads a copy at each
-peak and unloads it at each dip. Loads are what the weight store rations, so a model
-that has just become unreachable would wait behind them, and each new copy starts
-with a cold prefix cache.
-
-Thresholds: demand rises with ``RISE`` (15 s), which reaches 90% of a step within
-35 s, less than a load takes; it falls with ``FALL`` (15 min), longer than a dip
-between two bursts and short against an hour. A copy is meant to be filled to
-``FILL`` (0.7), so that the arrival of one more burst still meets the aim for the
-first token; one is given up only when the rest would stay below ``FILL_AFTER``
-(0.5), and one at a time, ``HOLD`` (120 s) apart. A model that fills a
-``POPULAR`` (0.3) part of an upstream gets one spare, since the death of its only
-copy would turn many callers away for as long as a load takes. The run that compares
-them with a count that follows the demand is in docs/notes/placement.md.
+A count that followed the instantaneous demand would load a copy at each peak and
+unload it at each dip. The weight store rations loads, so a model that has just become
+unreachable would wait behind them, and each new copy starts with a cold prefix cache.
+
+Thresholds: rising demand is smoothed with ``RISE_S`` (15 s), which reaches 90% of a
+step within 35 s, less than a load takes. Falling demand is smoothed with ``FALL_S``
+(15 min), longer than a dip between two bursts and short compared to an hour. Copies
+are planned for ``TARGET_LOAD`` (0.7), so that one more burst still meets the
+latency target for the first token. A copy is removed only if the others would stay
+below ``REMOVAL_LOAD`` (0.5), one at a time and ``REMOVAL_WAIT_S`` (120 s) apart. A
+model that fills ``SPARE_LOAD`` (0.3) of an upstream gets one spare copy, since the
+loss of its only copy would turn many callers away for the duration of a load.
+docs/notes/placement.md compares these thresholds with a count that follows the demand.
 """
 
 import math
@@ -35,13 +34,13 @@
 
 @dataclass
 class SmoothedDemand:
-    """Demand for one model in tokens a second, fast up and slow down."""
+    """Smoothed demand for one model in tokens per second: fast rise, slow decay."""
 
     value: float = 0.0
     _updated_at: float | None = None
 
     def update(self, sample: float, now: float) -> float:
-        """Take what was asked for in the last period; return the smoothed demand."""
+        """Add the demand of the last period and return the smoothed demand."""
         if self._updated_at is None:
             self.value = sample
         else:
@@ -54,15 +53,15 @@
 
 @dataclass
 class CopyCount:
-    """Copies wanted of one model; rises at once, falls one by one."""
+    """Wanted number of copies of one model; rises at once, falls one by one."""
 
     wanted: int = 1
     floor: int = 1
-    """Copies without the spare and without waiting for the demand to come back."""
+    """Copies that the current demand requires, without the spare and the hysteresis."""
     _changed_at: float = field(default=-math.inf)
 
     def update(self, demand: float, rate: float, now: float) -> int:
-        """Return the copies wanted, where one upstream gives ``speed`` tokens/s."""
+        """Return the wanted copies if an upstream serves ``rate`` tokens per second."""
         spare = 1 if demand >= SPARE_LOAD * rate else 0
         self.floor = copies_for(demand, rate * TARGET_LOAD)
         kept = copies_for(demand, rate * REMOVAL_LOAD) + spare
@@ -76,20 +75,20 @@
 
 
 def copies_for(demand: float, per_copy: float) -> int:
-    """Return how many copies carry ``demand`` at ``share`` each; at least one."""
+    """Return the copies that serve ``demand`` at ``per_copy`` each, at least one."""
     return max(1, math.ceil(demand / per_copy - 1e-9))
 
 
 @dataclass
 class CopyCounts:
-    """Demand and copies wanted of all models."""
+    """Smoothed demand and wanted copies of all models."""
 
     rate: float
     _demands: dict[Model, SmoothedDemand] = field(default_factory=dict)
     _counts: dict[Model, CopyCount] = field(default_factory=dict)
 
     def smooth(self, samples: dict[Model, float], now: float) -> dict[Model, float]:
-        """Return the smoothed demand of each model asked about."""
+        """Return the smoothed demand of each sampled model."""
         demands = self._demands
         return {
             model: demands.setdefault(model, SmoothedDemand()).update(value, now)
@@ -99,7 +98,7 @@
     def update(
         self, demand: dict[Model, float], bases: dict[Model, Model], now: float
     ) -> dict[Model, CopyCount]:
-        """Return the copies wanted; a base carries its adapters' demand too."""
+        """Return the wanted copies; a base model also serves its adapters' demand."""
         total = dict(demand)
         for adapter, base in bases.items():
             total[base] = total.get(base, 0.0) + demand.get(adapter, 0.0)
--- a/src/persimmonhitch/decide/eviction.py
+++ b/src/persimmonhitch/decide/eviction.py
@@ -1,8 +1,9 @@
-"""Room for a load that finds no free memory: surplus copies go, sole ones move.
+"""Memory for a load that finds none free: evict surplus copies, relocate sole copies.
 
-A copy is surplus as long as others of its model serve, by the floor that goes with
-the load's reason. Only for a model that nobody can reach, or a new revision, is a sole
-copy loaded elsewhere, so that its old place can be taken in a later round.
+A copy is surplus while enough other copies of its model serve; ``_FLOORS`` gives the
+number to keep for each reason of a load. A sole copy is relocated only for an
+unreachable model or a new revision: it is loaded elsewhere first, and a later round
+evicts the original.
 """
 
 from typing import Final
@@ -14,7 +15,7 @@
 MAX_SEARCHES: Final = 24
 MAX_RELOCATIONS: Final = 4
 MAX_RELOCATION_TARGETS: Final = 64
-"""Sites with most free memory that are tried for a relocation."""
+"""Number of upstreams, by free memory, that are considered for a relocation."""
 
 
 def _keep_one(_need: ModelRequirement) -> int:
@@ -35,13 +36,13 @@
     Reason.DEMAND: _floor,
     Reason.HOTSPOT: _floor,
 }
-"""Copies that a model keeps when its memory is wanted for another reason."""
+"""Copies that a model keeps when its memory is needed for another model."""
 RELOCATION_REASONS: Final = (Reason.UNREACHABLE, Reason.REVISION)
-"""Loads for which other models give up copies above their last one."""
+"""Reasons of loads for which sole copies of other models are relocated."""
 
 
 class EvictionPlanner:
-    """Makes room within the moves of one round."""
+    """Adds evictions and relocations to the moves of one round."""
 
     def __init__(self, moves: MoveList) -> None:
         self.moves = moves
@@ -51,15 +52,15 @@
 
     @property
     def state(self) -> PlacementState:
-        """Return the board with the moves chosen so far."""
+        """Return the placement after the moves chosen so far."""
         return self.moves.state
 
     def is_exhausted(self) -> bool:
-        """Return whether this round has searched enough."""
+        """Return whether this round has used up its searches."""
         return self.searches >= MAX_SEARCHES
 
     def has_pending_space(self, need: ModelRequirement) -> bool:
-        """Return whether a place for a load comes free without any more moves."""
+        """Return whether free memory and pending unloads suffice for a load."""
         state = self.state
         return any(
             state.free[target.upstream] + state.freeing[target.upstream] + EPSILON
@@ -69,7 +70,7 @@
         )
 
     def make_room(self, need: ModelRequirement, reason: Reason) -> None:
-        """Take surplus copies from one site, the one with the least to take."""
+        """Evict surplus copies from the target that needs the fewest evictions."""
         self.searches += 1
         best: tuple[int, float, PlacementTarget, list[Model]] | None = None
         for target in self.moves.eligible(need):
@@ -122,7 +123,7 @@
         return len(serving) > _FLOORS.get(reason, _wanted_count)(need)
 
     def _relocate_copies(self, need: ModelRequirement) -> None:
-        """Load sole copies elsewhere, so that their old places can be taken."""
+        """Load sole copies elsewhere, so that a later round can evict the originals."""
         if self.relocations >= MAX_RELOCATIONS:
             return
         sources = sorted(
@@ -135,7 +136,7 @@
         base = None if need.base is None else self.state.needs.get(need.base)
         if base is None or self.state.loading[base.model]:
             return
-        # No upstream with the base has room for one more adapter.
+        # No upstream with the base model has memory for another adapter.
         target = self.moves.choose(base, Reason.UNREACHABLE)
         if target is not None:
             self.moves.load(base, target.upstream, Reason.MAKE_ROOM)
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -1,17 +1,18 @@
-"""Weighted fair sharing of one upstream's tokens among client accounts.
+"""Weighted fair queue in front of one upstream, shared by client accounts.
 
-Load pattern: one account sends several times its rate, or a few giant prompts, to
-an upstream that others use too. First-come first-served lets its backlog stand
-before everybody; with this queue each account waits behind its own work alone.
+Load pattern: one account sends several times its rate, or a few huge prompts, to an
+upstream that others use too. A first-come, first-served queue puts its backlog ahead
+of all other requests; in this queue each account waits only behind its own requests.
 
-Each account has a virtual counter of tokens served over its weight, and the least
-counter is served next. An account that returns from idleness is lifted to the
-virtual time, so that it neither hoards service it did not use nor owes any.
+Each account has a virtual counter of tokens served, divided by its weight, and the
+account with the lowest counter is served next. The counter of an account that returns
+from idleness is raised to the virtual time, so that it neither accumulates credit while
+idle nor is in debt afterwards.
 
-Batch work is served when no interactive work waits. It would starve under steady
-interactive load, hence it competes as interactive work in the last quarter of the
-time given to it; a quarter of an overnight run's eight hours is time enough at any
-fair share, and three quarters leave it the spare capacity of the night.
+Batch requests run when no interactive request waits. Under steady interactive load
+they would starve, so in the last quarter of its allowed time a batch request competes
+as an interactive one. A quarter of an overnight run's eight hours is enough at any fair
+share, and the other three quarters use the spare capacity of the night.
 """
 
 from collections.abc import Iterator
@@ -22,28 +23,31 @@
 from ..wire.messages import Priority
 
 URGENT_FRACTION: Final = 0.25
-"""Part of a batch request's time, at its end, in which it competes as interactive."""
+"""Last part of a batch request's allowed time, when it competes as interactive."""
 FIRST_TOKEN_MARGIN_S: Final = 0.2
-"""Seconds of it that the upstream itself takes."""
+"""Part of the first-token target that the upstream itself takes, in seconds."""
 MAX_LEAD_TOKENS: Final = 1500.0
-"""Tokens by which an account may be ahead of its share for a request in time."""
+"""Tokens by which an account may exceed its share to be served out of turn.
+
+Applies to a request that can still meet the first-token target when others can't.
+"""
 MIN_WEIGHT: Final = 1e-3
 FIRST_TOKEN_TARGET_S: Final = 0.75
-"""Seconds to the first token that callers are promised for 95 in 100."""
+"""Seconds to the first token promised to callers, as a 95th percentile."""
 
 
 @dataclass(frozen=True)
 class QueuedRequest:
-    """A request that waits for its upstream.
+    """A request that waits for an upstream.
 
     Attributes
     ----------
     cost : float
-        Tokens reserved for it: prompt and maximum output.
+        Tokens reserved for the request: prompt and maximum output.
     deadline_at, arrived_at : float
-        Times on the clock that is passed to the queue.
-    needs : float
-        Seconds of service without which it can't finish.
+        Times on the clock whose ``now`` is passed to the queue.
+    service_s : float
+        Seconds of service that the request requires to finish.
     """
 
     request: RequestId
@@ -57,24 +61,24 @@
 
     @property
     def latest_start(self) -> float:
-        """Return the time after which it can no longer finish."""
+        """Return the latest time at which to start and still meet the deadline."""
         return self.deadline_at - self.service_s
 
     def is_late(self, now: float) -> bool:
-        """Return whether its first token can't come in time any more."""
+        """Return whether the request can no longer meet the first-token target."""
         if self.priority is Priority.BATCH:
             return False
         return now - self.arrived_at > FIRST_TOKEN_TARGET_S - FIRST_TOKEN_MARGIN_S
 
     def is_urgent(self, now: float) -> bool:
-        """Return whether batch work has to compete as interactive work."""
+        """Return whether a batch request has to compete as an interactive one."""
         allowed_s = self.deadline_at - self.arrived_at
         return self.latest_start - now <= URGENT_FRACTION * allowed_s
 
 
 @dataclass
 class _AccountQueue:
-    """Virtual counters and waiting work of one account in one class."""
+    """Virtual counter and queued requests of one account in one priority class."""
 
     weight: float
     counter: float
@@ -83,14 +87,14 @@
 
 
 class _ClassQueue:
-    """Fair queue of one priority class."""
+    """Fair queue of one priority class. An item is a ``QueuedRequest``."""
 
     def __init__(self) -> None:
         self._queues: dict[Account, _AccountQueue] = {}
         self._virtual_time = 0.0
 
     def push(self, item: QueuedRequest) -> None:
-        """Add an item; lift the counter of an account that was idle."""
+        """Add an item; raise the counter of an account that was idle."""
         weight = max(item.weight, MIN_WEIGHT)
         queue = self._queues.get(item.account)
         if queue is None:
@@ -105,9 +109,9 @@
     def pick(self, now: float) -> QueuedRequest | None:
         """Return the next item.
 
-        It is the one of the account served least, unless that has only requests
-        which missed the time to their first token and another, ahead by no more
-        than ``LEAD`` tokens, has one that can still make it.
+        The account with the lowest counter is served, unless all its requests have
+        missed the first-token target while another account, ahead by no more than
+        ``MAX_LEAD_TOKENS``, has a request that can still meet it.
         """
         busy = [queue for queue in self._queues.values() if queue.items]
         if not busy:
@@ -131,19 +135,19 @@
         self._remove_idle()
 
     def drop(self, item: QueuedRequest) -> None:
-        """Remove an item that is not served."""
+        """Remove an item without serving it."""
         queue = self._queues[item.account]
         queue.items.remove(item)
         queue.tokens -= item.cost
 
     def charge(self, account: Account, tokens: float) -> None:
-        """Correct what an account was charged; negative gives back."""
+        """Charge an account further tokens, or refund them if negative."""
         queue = self._queues.get(account)
         if queue is not None:
             queue.counter += tokens / queue.weight
 
     def backlog(self, account: Account, weight: float) -> float:
-        """Return tokens that are served before a new item of the account."""
+        """Return the tokens served before a new item of the account."""
         own = self._queues.get(account)
         weight = max(weight, MIN_WEIGHT)
         own_tokens = own.tokens if own is not None else 0.0
@@ -157,15 +161,16 @@
         return own_tokens + sum(others)
 
     def pick_overflow(self) -> QueuedRequest | None:
-        """Return the newest item of the account with most work for its weight."""
+        """Return the newest item of the account with the most tokens for its weight."""
         busy = [queue for queue in self._queues.values() if queue.items]
         if not busy:
             return None
         return max(busy, key=lambda queue: queue.tokens / queue.weight).items[-1]
 
     def _remove_idle(self) -> None:
-        # Accounts come and go while a sidecar lives for weeks; an idle one whose
-        # counter is behind the virtual time would be lifted anyway.
+        # A sidecar runs for weeks and serves a changing set of accounts. An idle
+        # account at or below the virtual time loses nothing: its counter would be
+        # raised to the virtual time anyway.
         idle = [
             account
             for account, queue in self._queues.items()
@@ -180,7 +185,7 @@
 
 
 class FairQueue:
-    """Queue in front of one upstream, fair among client accounts."""
+    """Queue in front of one upstream that is fair among client accounts."""
 
     def __init__(self) -> None:
         self._classes = {priority: _ClassQueue() for priority in Priority}
@@ -189,7 +194,7 @@
 
     @property
     def tokens(self) -> float:
-        """Return the tokens that wait."""
+        """Return the number of queued tokens."""
         return self._tokens
 
     def __len__(self) -> int:
@@ -201,7 +206,7 @@
         self._tokens += item.cost
 
     def pop(self, now: float) -> QueuedRequest | None:
-        """Remove and return the next request, and charge its account."""
+        """Remove and return the next request and charge its account."""
         self._promote_urgent(now)
         for priority in (Priority.INTERACTIVE, Priority.BATCH):
             queue = self._classes[priority]
@@ -213,19 +218,19 @@
         return None
 
     def expire(self, now: float) -> tuple[QueuedRequest, ...]:
-        """Remove and return requests that can no longer finish in time."""
+        """Remove and return the requests that can no longer meet their deadline."""
         expired = [item for item, _ in self._items.values() if item.latest_start <= now]
         for item in expired:
             self.remove(item.request)
         return tuple(expired)
 
     def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
-        """Remove and return what exceeds ``bound`` tokens.
+        """Remove and return the requests in excess of ``max_tokens``.
 
-        A plain bound refuses the next caller, whoever filled the queue; an account
-        within its rate would notice refusals while another floods. Taking from
-        the account with most work for its weight, newest first and batch before
-        interactive, leaves the refusal with the account that caused it.
+        A plain bound refuses the next caller, no matter which account filled the
+        queue, so an account within its rate would be refused while another floods.
+        Removing requests of the account with the most tokens for its weight, newest
+        first and batch before interactive, refuses the account that floods.
         """
         removed = []
         while self.tokens > max_tokens and len(self) > 1:
@@ -245,11 +250,11 @@
         tokens: float,
         priority: Priority = Priority.INTERACTIVE,
     ) -> None:
-        """Correct an account's counter once the actual use is known."""
+        """Correct an account's counter once the actual token use is known."""
         self._classes[priority].charge(account, tokens)
 
     def remove(self, request: RequestId) -> QueuedRequest | None:
-        """Remove a request whose caller has gone, or return None."""
+        """Remove and return a cancelled request, or return None if not queued."""
         if request not in self._items:
             return None
         item, queue = self._items[request]
@@ -263,7 +268,7 @@
         weight: float,
         priority: Priority = Priority.INTERACTIVE,
     ) -> float:
-        """Return the waiting tokens that go before a new request of an account."""
+        """Return the queued tokens served before a new request of an account."""
         tokens = self._classes[priority].backlog(account, weight)
         if priority is Priority.BATCH:
             urgent = self._classes[Priority.INTERACTIVE]
@@ -286,10 +291,10 @@
 
 
 def _service_order(item: QueuedRequest, now: float) -> tuple[bool, float]:
-    """Order within one account: in time for the first token, then by deadline.
+    """Return the sort key of a request within its account.
 
-    Once a request has missed the time to its first token, serving it before one
-    that can still make it only makes both late.
+    Requests that can still meet the first-token target come first, by arrival; the
+    others follow by deadline. Serving a late request first would only make both late.
     """
     late = item.is_late(now)
     return late, item.deadline_at if late else item.arrived_at
--- a/src/persimmonhitch/decide/moves.py
+++ b/src/persimmonhitch/decide/moves.py
@@ -1,4 +1,4 @@
-"""Moves of one round, and where a load finds a place."""
+"""Moves of one planning round, and the choice of a target for each load."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -9,14 +9,15 @@
 from .targets import CopyPhase, ModelRequirement, PlacementState, PlacementTarget
 
 RELIEF_TARGET_LOAD: Final = 0.5
-"""Part of its speed below which an upstream takes copies for the sake of heat."""
+"""Share of its rate below which an upstream may relieve a hotspot."""
 LOAD_STEP: Final = 0.1
-"""Heat, as part of the speed, that counts as equal when a site is chosen."""
+"""Difference in traffic, as a share of the rate, that target selection ignores."""
 EPSILON: Final = 1e-6
+"""Tolerance in GiB for rounding errors in sums of memory."""
 
 
 class Reason(Enum):
-    """Why a move is made; loads are made in this order."""
+    """Reason of a move; loads are ordered by it, in the order listed here."""
 
     UNREACHABLE = "unreachable"
     REVISION = "revision"
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Move:
-    """One load or unload; ``revision`` is that of the copy moved."""
+    """One load or unload of a copy of ``revision``."""
 
     is_load: bool
     model: Model
@@ -39,7 +40,7 @@
 
 
 class MoveList:
-    """The moves chosen so far and the board with them applied."""
+    """Moves chosen so far, and the placement after them."""
 
     def __init__(self, state: PlacementState, rate: float) -> None:
         self.state = state
@@ -48,7 +49,7 @@
         self.load_count = 0
 
     def choose(self, need: ModelRequirement, reason: Reason) -> PlacementTarget | None:
-        """Return the best site with free memory for a load, or None."""
+        """Return the best target with free memory for a load, or None."""
         zones = self.state.zones(need.model)
         low_demand = (
             reason is Reason.UNREACHABLE and need.demand < self.rate * LOAD_STEP
@@ -68,7 +69,7 @@
         return self.state.traffic[target.upstream] // (self.rate * LOAD_STEP)
 
     def eligible(self, need: ModelRequirement) -> Iterator[PlacementTarget]:
-        """Yield the sites that may take a copy, whatever their free memory."""
+        """Yield the targets that may load a copy, regardless of their free memory."""
         for target in self.state.targets.values():
             if not target.accepting or target.draining or need.model in target.copies:
                 continue
@@ -85,21 +86,21 @@
         return target.upstream not in self.state.unloading[base]
 
     def is_busy(self, target: PlacementTarget) -> bool:
-        """Return whether a site has too much work to take a copy for heat."""
+        """Return whether a target has too much traffic to relieve a hotspot."""
         return self.state.traffic[target.upstream] >= self.rate * RELIEF_TARGET_LOAD
 
     def by_demand(self, target: PlacementTarget) -> list[Model]:
-        """Return the models of a site, the least asked for first."""
+        """Return the models of a target, those with the least demand first."""
         return sorted(target.copies, key=lambda model: self.state.copy_demand(model))
 
     def load(self, need: ModelRequirement, upstream: Upstream, reason: Reason) -> None:
-        """Choose a load."""
+        """Add a load."""
         self.state.load(need.model, upstream)
         self.load_count += 1
         self.items.append(Move(True, need.model, upstream, need.revision, reason))
 
     def unload(self, model: Model, upstream: Upstream, reason: Reason) -> None:
-        """Choose an unload."""
+        """Add an unload."""
         revision = self.state.targets[upstream].copies[model].revision
         self.state.unload(model, upstream)
         self.items.append(Move(False, model, upstream, revision, reason))
--- a/src/persimmonhitch/decide/outliers.py
+++ b/src/persimmonhitch/decide/outliers.py
@@ -1,19 +1,21 @@
-"""Which upstreams are kept from traffic because they are slower than their peers.
-
-Load pattern: one slow upstream. It answers, so nothing counts as failed, yet every
-caller sent to it waits; and because it holds its work longest, its in-flight count
-alone gives it a fair part of the rest. An upstream is compared with the peers that
-serve the same models: only what is slow against them is ejected. When all are slow the
-cause is the load, and ejecting anyone would leave the rest with more of it.
-
-The latency compared is the time between tokens, for it depends neither on the length
-of a request nor on a queue or a cold cache. ``SLOW`` times the peers' median and more
-than is ``PROMISED`` is beyond what load does: a healthy upstream that is busy while its
-peers idle is several times slower than they, but its concurrency limit holds the
-promise. ``MOST_EJECTED`` is the part of the upstreams that may be gone at once. A model
-whose copies are all ejected, or that has only one, is served by them as if none were.
-After ``BASE_SECONDS``, doubled at each repeat, an upstream returns by a rising share,
-so that one which is still slow is found out with few callers.
+"""Ejection of upstreams that are slower than their peers or fail.
+
+Load pattern: one slow upstream. It answers, so no request counts as failed, yet every
+caller routed to it waits; and since it finishes fewer requests, a balance by in-flight
+requests still sends it a considerable part of the traffic. An upstream is compared
+with the peers that serve the same models, and only an upstream slow relative to them
+is ejected. If all are slow, the cause is the load, and an ejection would leave
+more of it to the rest.
+
+The compared latency is the gap between tokens, which depends neither on the length of
+a request nor on queueing or a cold cache. An outlier exceeds both ``SLOW_FACTOR`` times
+the median of its peers and ``TOKEN_GAP_TARGET_S``, because load alone does not: a
+healthy busy upstream may be several times slower than idle peers, but its concurrency
+limit keeps the gap within the target. At most ``MAX_EJECTED_FRACTION`` of the
+upstreams are ejected at a time. If all copies of a model are ejected, or its only copy
+is, they receive its traffic as if none were. After ``BASE_EJECTION_S``, doubled at each
+repeat, the traffic share of an upstream ramps up again, so that an upstream that is
+still slow is detected with few callers affected.
 """
 
 from collections import deque
@@ -26,7 +28,7 @@
 
 SLOW_FACTOR: Final = 2.5
 TOKEN_GAP_TARGET_S: Final = 0.06
-"""Seconds between tokens up to which an upstream is never an outlier."""
+"""Gap between tokens up to which an upstream is never an outlier."""
 MIN_SAMPLES: Final = 8
 SAMPLE_WINDOW_S: Final = 10.0
 MAX_SAMPLES: Final = 64
@@ -36,12 +38,12 @@
 RETURN_RAMP_S: Final = 10.0
 RETURN_MIN_SHARE: Final = 0.1
 FAILURES_TO_EJECT: Final = 5
-"""Failures in a row after which an upstream is ejected."""
+"""Consecutive failures after which an upstream is ejected."""
 
 
 @dataclass
 class _UpstreamStats:
-    """What is known of one upstream."""
+    """Latency samples, failures and ejection of one upstream."""
 
     samples: dict[Model, deque[tuple[float, float]]] = field(default_factory=dict)
     failures: int = 0
@@ -54,12 +56,12 @@
 
 
 class OutlierDetector:
-    """Compares upstreams by latency and failures and sets their shares.
+    """Ejects outliers by latency and failures, and sets their traffic shares.
 
     Parameters
     ----------
-    promised : float
-        Latency up to which an upstream is never an outlier.
+    token_gap_target_s : float
+        Gap between tokens, in seconds, up to which an upstream is never an outlier.
     """
 
     def __init__(self, token_gap_target_s: float = TOKEN_GAP_TARGET_S) -> None:
@@ -70,24 +72,24 @@
     def on_latency(
         self, now: float, upstream: Upstream, model: Model, seconds: float
     ) -> None:
-        """Note a latency that does not depend on the request's length."""
+        """Record a latency that does not depend on the length of the request."""
         stats = self._stats.setdefault(upstream, _UpstreamStats())
         stats.failures = 0
         samples = stats.samples.setdefault(model, deque(maxlen=MAX_SAMPLES))
         samples.append((now, seconds))
 
     def on_failure(self, upstream: Upstream) -> None:
-        """Note an attempt that the upstream failed."""
+        """Record a failed attempt at an upstream."""
         self._stats.setdefault(upstream, _UpstreamStats()).failures += 1
 
     def remove(self, upstream: Upstream) -> None:
-        """Drop an upstream that has left."""
+        """Remove an upstream that left the fleet."""
         self._stats.pop(upstream, None)
 
     def traffic_share(self, now: float, upstream: Upstream, model: Model) -> float:
-        """Return the part of a model's usual traffic that an upstream may get."""
+        """Return the share of its normal traffic for a model that an upstream gets."""
         peers = self._copies.get(model, ())
-        # Ejecting the only copy would turn slow answers into none.
+        # If all copies are ejected, slow answers are better than none.
         if all(self._is_ejected(now, peer) for peer in peers):
             return 1.0
         stats = self._stats.get(upstream)
@@ -98,7 +100,7 @@
         return warmup_share(now - stats.ejected_until, RETURN_RAMP_S, RETURN_MIN_SHARE)
 
     def update(self, now: float, copies: dict[Model, tuple[Upstream, ...]]) -> None:
-        """Eject what is slow; ``copies`` are the upstreams that serve each model."""
+        """Eject outliers; ``copies`` maps each model to the upstreams that serve it."""
         self._copies = copies
         upstreams = {upstream for peers in copies.values() for upstream in peers}
         max_ejected = max(1, int(MAX_EJECTED_FRACTION * len(upstreams)))
--- a/src/persimmonhitch/decide/placement.py
+++ b/src/persimmonhitch/decide/placement.py
@@ -1,25 +1,26 @@
-"""Where the copies of models go: few moves, every model reachable.
-
-Load pattern: hundreds of models share few accelerators, the demand for each moves
-tenfold within an hour, and upstreams die, leave and come back empty.
-
-Without this: a placement computed afresh at each change moves models that were fine
-where they were. Each move costs a load from the rationed weight store and a cold
-cache. A placement that never changes leaves a popular model on one copy and a
-dead upstream's models unreachable.
-
-How it keeps moves few: copies above the wanted number stay until their memory is
-needed, so a dip followed by a rise costs nothing; a load takes free memory first,
-then that of surplus copies, and moves a sole copy only for a model that nobody can
-reach. A copy is added for heat only above ``HOT`` (0.85 of an upstream's speed, where
-waiting rises steeply) and only onto an upstream below ``COOL`` (0.5), so that the move
-cannot make a new hot one. ``MAX_LOADS`` (64) and ``MAX_SEARCHES`` (24) bound the work
-of one round to under its period at 590 models on 5,500 upstreams; no weight store
-here starts as many loads in a period of 5 s.
-
-What always holds: an unload is only proposed while another copy serves, at most one
-copy of a model leaves at a time, and the new copy serves before the old one goes.
-docs/notes/placement.md has the runs.
+"""Placement of model copies: all models reachable, with few moves.
+
+Load pattern: hundreds of models share few accelerators, the demand for each changes
+tenfold within an hour, and upstreams fail, drain and come back empty.
+
+A placement recomputed from scratch at each change moves models needlessly, and each
+move costs a load from the rationed weight store and a cold cache. A placement that
+never changes leaves a popular model on one copy and the models of a failed upstream
+unreachable.
+
+Moves stay few because copies above the wanted number stay until their memory is
+needed, so a dip followed by a rise causes no move. A load uses free memory first, then
+the memory of surplus copies, and relocates a sole copy only for an unreachable model
+or a new revision. Hotspots get another copy only above ``HOTSPOT_LOAD`` (0.85 of an
+upstream's rate, where queueing delay grows steeply), and only on an upstream below
+``RELIEF_TARGET_LOAD`` (0.5), so that the move creates no new hotspot. ``MAX_LOADS``
+(64) and ``MAX_SEARCHES`` (24) keep the computation of one round below its period for
+590 models on 5,500 upstreams; no weight store of this platform starts that many loads
+in a period of 5 s.
+
+Invariants: an unload is only proposed while another copy serves, at most one copy of a
+model unloads at a time, and a new copy serves before the one it replaces is unloaded.
+docs/notes/placement.md has the measurements.
 """
 
 from collections.abc import Iterable, Mapping
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Moves to make now, the most urgent first, and loads that find no place."""
+    """Moves to make now, the most urgent first, and loads without a target."""
 
     moves: tuple[Move, ...]
     unplaced: tuple[tuple[Model, Reason], ...]
@@ -49,16 +50,16 @@
     targets: Iterable[PlacementTarget],
     rate: float,
 ) -> Plan:
-    """Return the moves to make now.
+    """Return the moves of one planning round.
 
     Parameters
     ----------
     needs : mapping
-        All models of the catalog with their demand and copies wanted.
-    sites : iterable
-        All upstreams that are known to live.
-    speed : float
-        Tokens a second that one upstream gives.
+        All models of the catalog with their demand and wanted copies.
+    targets : iterable
+        All upstreams known to be alive.
+    rate : float
+        Tokens per second that one upstream serves.
     """
     planning = _PlanningRound(PlacementState(needs, targets), rate)
     planning.unload_retired()
@@ -77,7 +78,7 @@
 
 
 class _PlanningRound:
-    """One round of planning."""
+    """State of one planning round."""
 
     def __init__(self, state: PlacementState, rate: float) -> None:
         self.state = state
@@ -86,7 +87,7 @@
         self.evictions = EvictionPlanner(self.moves)
 
     def unload_retired(self) -> None:
-        """Unload copies of models and revisions that nobody may ask for any more."""
+        """Unload copies of models and revisions that the catalog no longer lists."""
         for upstream, target in self.state.targets.items():
             for model, placed in target.copies.items():
                 retired = model not in self.state.needs
@@ -101,7 +102,7 @@
         if need is None:
             return True
         serving, stale = len(self.state.serving[model]), len(self.state.stale[model])
-        # An old copy goes only for a new one, so the model keeps its strength.
+        # Unload a stale copy only once a new one replaces it, to keep the capacity.
         return serving > 0 and serving + stale > need.wanted
 
     def _unload_stale(self, model: Model, upstream: Upstream) -> None:
@@ -111,7 +112,7 @@
         self.moves.items.append(move)
 
     def load_missing(self) -> None:
-        """Load what is missing, in the order of ``Reason``."""
+        """Load missing copies, in the order of ``Reason``."""
         for need, reason in self._missing_copies():
             if self.moves.load_count >= MAX_LOADS:
                 return
@@ -124,9 +125,9 @@
                 self.evictions.make_room(need, reason)
 
     def _replace_stale(self, need: ModelRequirement) -> None:
-        """Let an old copy go where a spare of the new revision finds no place."""
-        # Two copies would else wait for each other: the old one for the spare, the
-        # spare for memory; it shows as a revision that never changes on an upstream.
+        """Unload a stale copy if a spare of the new revision finds no memory."""
+        # Otherwise the stale copy waits for the spare and the spare for memory, and
+        # the upstream serves the stale revision forever.
         stale = self.state.stale[need.model]
         demand_met = len(self.state.serving[need.model]) >= need.floor
         if stale and demand_met and not self.evictions.has_pending_space(need):
@@ -140,7 +141,7 @@
                 reason = self._load_reason(need, index)
                 demand = need.demand / (index + 1)
                 missing.append((_URGENCY[reason], -demand, need, reason))
-        # Bases before adapters, which need one to be there.
+        # Base models first: an adapter loads only where its base model serves.
         missing.sort(key=lambda entry: (entry[0], entry[2].base is not None, entry[1]))
         return [(need, reason) for _, _, need, reason in missing]
 
@@ -149,12 +150,12 @@
             return Reason.UNREACHABLE
         if self.state.stale[need.model] and index < need.floor:
             return Reason.REVISION
-        # Copies above the least make no room for themselves: they are what demand
-        # takes from others, and would take it back in the next round, without end.
+        # A spare evicts nothing. Loads for demand evict spares, and a spare that
+        # evicted in turn would exchange the same memory in every round, without end.
         return Reason.DEMAND if index < need.floor else Reason.SPARE
 
     def relieve_hotspots(self) -> None:
-        """Add a copy of the busiest model of the hottest upstreams elsewhere."""
+        """Load another copy of the busiest model of each of the hottest upstreams."""
         limit = self.rate * HOTSPOT_LOAD
         hot = [u for u, traffic in self.state.traffic.items() if traffic > limit]
         hot.sort(key=lambda upstream: -self.state.traffic[upstream])
--- a/src/persimmonhitch/decide/retries.py
+++ b/src/persimmonhitch/decide/retries.py
@@ -1,9 +1,9 @@
-"""How many requests may be sent again.
+"""Retry budget and the failures that may be retried at another upstream.
 
-Load pattern: an upstream fails under load. If each caller's request is retried, a
-fleet at its limit gets twice the work just when it can serve least, and stays down
-after the cause has gone. Retries are a part of the requests, a tenth, which covers the
-death of one upstream in ten; ``LEAST_RATE`` a second lets a quiet entry retry at all.
+Load pattern: an upstream fails under load. If each request were retried, a fleet at its
+limit would get twice the load when it can serve least, and would stay overloaded after
+the cause is gone. Retries are limited to a tenth of the requests, which covers the loss
+of one upstream in ten. ``MIN_RETRIES_PER_S`` lets an entry with few requests retry.
 """
 
 from typing import Final
@@ -21,16 +21,16 @@
         ErrorCode.MODEL_LOADING,
     }
 )
-"""Failures of one upstream that say nothing about the others."""
+"""Failures of one upstream that do not predict a failure at the others."""
 OUTCOME_UNKNOWN: Final = frozenset({ErrorCode.UPSTREAM_LOST, ErrorCode.INTERNAL})
-"""Failures after which a request may have run."""
+"""Failures that leave unknown whether the request ran."""
 RETRY_RATIO: Final = 0.1
 MIN_RETRIES_PER_S: Final = 1.0
 MAX_SAVED: Final = 20.0
 
 
 class RetryBudget:
-    """Budget of retries that grows with the requests."""
+    """Budget of retries, proportional to the number of requests."""
 
     def __init__(self, ratio: float = RETRY_RATIO, limit: float = MAX_SAVED) -> None:
         self._ratio = ratio
@@ -39,12 +39,12 @@
         self._refilled_at: float | None = None
 
     def on_request(self, now: float) -> None:
-        """Count a first attempt."""
+        """Record the first attempt of a request."""
         self._refill(now)
         self._saved = min(self._saved + self._ratio, self._limit)
 
     def try_spend(self, now: float) -> bool:
-        """Take one retry from the budget, or return False."""
+        """Spend one retry; return False if the budget is empty."""
         self._refill(now)
         if self._saved < 1.0:
             return False
@@ -59,10 +59,10 @@
 
 
 def may_retry(failure: Failure, repeatable: bool) -> bool:
-    """Return whether another upstream may be tried after a failure.
+    """Return whether a failed request may be retried at another upstream.
 
-    A request that may have run is sent again only if the operators' list says
-    that it may be repeated; else a booking would be made twice.
+    A request that may have run is retried only if the operators have listed it as
+    repeatable. Otherwise a booking could be made twice.
     """
     if failure.verdict is Verdict.NOT_RUN:
         return failure.code in RETRYABLE_ELSEWHERE
--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -1,17 +1,18 @@
-"""Which upstream gets a request.
-
-Load pattern: many entries with a late view of the same upstreams. If each sent its
-work to the least loaded upstream of the last report, all would choose the same one
-until the next report, and it would be seen overloaded while its peers idle. So the
-expected completion counts the entry's own work in flight, which is known without lag,
-and takes from the report only the work of others; and it is compared among two random
-choices, so that entries with the same view don't act as one.
-
-A warm prefix cache or adapter saves time, and the saving is part of the expectation.
-Hints are late and may be wrong, hence ``HINT_TRUST``; and they may cost an imbalance of
-``AFFINITY_BOUND`` seconds at most, a fifth of the first-token aim, since otherwise the
-one upstream that holds a popular prefix takes all its work. The own zone goes first
-while it is slower by no more than ``ZONE_SLACK``, about two crossings of zones.
+"""Choice of the upstream for a request.
+
+Load pattern: many entries with the same outdated view of the upstreams. If each sent
+its requests to the least loaded upstream of the last report, all would choose the same
+one until the next report and overload it while its peers idle. The expected completion
+therefore counts the entry's own in-flight requests, which are known without delay, and
+uses the report only for the load from others. It is compared among two random
+candidates, so that entries with the same view choose differently.
+
+A cached prefix or a loaded adapter saves time, which the expected completion includes.
+Cache hints are delayed and may be wrong, so only ``HINT_WEIGHT`` of a hint counts. They
+may cost at most ``MAX_AFFINITY_DELAY_S`` of queueing delay, a fifth of the first-token
+target; otherwise the one upstream that has a popular prefix would get all its requests.
+An upstream in the entry's own zone is preferred while it is slower by no more than
+``CROSS_ZONE_PENALTY_S``, about two zone crossings.
 """
 
 from collections.abc import Sequence
@@ -26,16 +27,17 @@
 MAX_AFFINITY_DELAY_S: Final = 0.15
 CROSS_ZONE_PENALTY_S: Final = 0.003
 ADAPTER_LOAD_S: Final = 0.1
-"""Seconds that an adapter takes to come into an engine's memory."""
+"""Seconds that an engine takes to load an adapter."""
 SAMPLE_SIZE: Final = 2
+"""Random candidates drawn from the own zone, and from all other zones."""
 DEFAULT_RATE: Final = 1000.0
-"""Tokens a second assumed where no candidate has been seen busy."""
+"""Tokens per second assumed while no candidate has a known rate."""
 EWMA_WEIGHT: Final = 0.3
-"""Weight of the newest report in the rate."""
+"""Weight of the newest report in the moving average of the rate."""
 MAX_IDLE_REPORTS: Final = 20
-"""Idle reports in a row after which a rate is no longer believed."""
+"""Consecutive idle reports after which the rate is discarded."""
 MEAN_REMAINING_TOKENS: Final = 200.0
-"""Tokens assumed left of a running request of another entry."""
+"""Remaining tokens assumed for a running request of another entry."""
 
 
 @dataclass(frozen=True)
@@ -44,16 +46,17 @@
 
     Attributes
     ----------
-    work : float
-        Tokens in front of a new request: own in flight and others' by report.
+    pending : float
+        Tokens ahead of a new request: in flight from this entry, and from others
+        as reported.
     rate : float
-        Tokens a second it serves when busy, 0 where that is not known.
+        Tokens per second that the upstream serves when busy, 0 if unknown.
     share : float
-        Part of its usual traffic it may get, from warm-up and outlier ejection.
-    warm_prefix : float
-        Prompt tokens that its prefix cache is believed to hold.
+        Share of its normal traffic, reduced by warm-up and outlier ejection.
+    cached_prefix : float
+        Prompt tokens expected to be in the prefix cache.
     has_adapter : bool
-        Whether the request's adapter is believed to be loaded.
+        Whether the adapter of the request is expected to be loaded.
     """
 
     upstream: Upstream
@@ -67,7 +70,7 @@
 
 @dataclass(frozen=True)
 class RouteRequest:
-    """What routing needs to know of a request."""
+    """Properties of a request that routing depends on."""
 
     zone: Zone
     cost: float
@@ -75,10 +78,10 @@
 
 
 class UpstreamLoad:
-    """Load of one upstream as one entry sees it.
+    """Load of one upstream, as seen by one entry.
 
-    Counts the entry's own work without lag, and others' work from reports. ``rate``
-    is the tokens a second that it serves when busy, 0 while that is not known.
+    Counts the entry's own requests without delay, and the load from others by report.
+    ``rate`` is the tokens per second that the upstream serves when busy, 0 if unknown.
     """
 
     def __init__(self) -> None:
@@ -88,52 +91,52 @@
         self._idle_reports = 0
 
     def on_send(self, cost: float) -> None:
-        """Count a request that leaves for the upstream."""
+        """Count a request sent to the upstream."""
         self._in_flight_tokens += cost
 
     def on_done(self, cost: float) -> None:
-        """Count a request that ended."""
+        """Remove a finished request from the count."""
         self._in_flight_tokens = max(self._in_flight_tokens - cost, 0.0)
 
     def on_report(self, report: Report) -> None:
-        """Take a report; what an idle upstream serves says nothing of its speed."""
+        """Update the load and, if the upstream is busy, its rate from a report."""
         busy = report.queued > 0 or report.running >= report.limit
         if report.token_rate > 0.0:
-            # The rate of an upstream with room is only what it was asked for. Taken
-            # as its speed it would make idle upstreams look slow, and a burst would
-            # be sent to the busy ones.
+            # An upstream with spare capacity serves only the requested tokens. Used
+            # as its speed, that rate would make idle upstreams look slow, and a
+            # burst would be sent to the busy ones.
             rate = report.token_rate if busy else max(report.token_rate, self.rate)
             self.rate += (EWMA_WEIGHT if self.rate > 0.0 else 1.0) * (rate - self.rate)
         self._idle_reports = self._idle_reports + 1 if report.running == 0 else 0
         if self._idle_reports >= MAX_IDLE_REPORTS:
-            # One believed to be slow gets no work with which to show otherwise.
+            # An upstream considered slow gets no requests to prove otherwise.
             self.rate = 0.0
         reported = report.queued_tokens + report.running * MEAN_REMAINING_TOKENS
         self._others_tokens = max(reported - self._in_flight_tokens, 0.0)
 
     @property
     def pending(self) -> float:
-        """Return the tokens in front of a new request."""
+        """Return the tokens ahead of a new request."""
         return self._in_flight_tokens + self._others_tokens
 
 
 def expected_completion(candidate: Candidate, req: RouteRequest) -> float:
-    """Return the seconds after which a request is expected to end."""
+    """Return the seconds after which a request is expected to finish."""
     cost = max(req.cost - HINT_WEIGHT * candidate.cached_prefix, 0.0)
     load_s = 0.0 if req.adapter is None or candidate.has_adapter else ADAPTER_LOAD_S
     return (candidate.pending + cost) / candidate.rate + load_s
 
 
 def queue_delay(candidate: Candidate) -> float:
-    """Return the seconds of work in front of a new request."""
+    """Return the seconds that the pending tokens take."""
     return candidate.pending / candidate.rate
 
 
 def _fill_missing_rates(candidates: Sequence[Candidate]) -> list[Candidate]:
-    """Take those whose rate is not known for as fast as the fastest.
+    """Assume the fastest known rate for candidates whose rate is unknown.
 
-    A fixed guess below what its peers serve made an upstream that was never busy
-    look slow, and the busy ones got more work for having been seen (play, flood).
+    A fixed default below the rate of the peers made an upstream that was never busy
+    look slow, and its busy peers got more requests (simulation, pattern flood).
     """
     fastest = max(each.rate for each in candidates)
     default = fastest if fastest > 0.0 else DEFAULT_RATE
@@ -145,7 +148,7 @@
 def choose(
     candidates: Sequence[Candidate], req: RouteRequest, rng: Random
 ) -> Candidate | None:
-    """Return the upstream that gets a request, or None without candidates."""
+    """Return the candidate for a request, or None if there are no candidates."""
     if not candidates:
         return None
     available = _sample_by_share(_fill_missing_rates(candidates), rng)
@@ -163,7 +166,7 @@
 
 
 def _sample_by_share(candidates: Sequence[Candidate], rng: Random) -> list[Candidate]:
-    """Leave out an upstream as often as its share of traffic says."""
+    """Keep each candidate with a probability equal to its traffic share."""
     kept = [each for each in candidates if rng.random() < each.share]
     if kept:
         return kept
@@ -176,7 +179,7 @@
 
 
 def _has_affinity(candidate: Candidate, req: RouteRequest, min_delay: float) -> bool:
-    """Return whether a warm upstream is close enough to the least loaded."""
+    """Return whether a cached prefix or adapter is worth the queueing delay."""
     has_adapter = req.adapter is not None and candidate.has_adapter
     if not (candidate.cached_prefix > 0.0 or has_adapter):
         return False
--- a/src/persimmonhitch/decide/targets.py
+++ b/src/persimmonhitch/decide/targets.py
@@ -1,4 +1,4 @@
-"""Working copy of the fleet's placement while moves are chosen."""
+"""Upstreams as placement targets, and the working state of one planning round."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -9,7 +9,7 @@
 
 
 class CopyPhase(Enum):
-    """Where a copy stands, as the planner sees it."""
+    """Lifecycle phase of a model copy, as the planner sees it."""
 
     LOADING = "loading"
     SERVING = "serving"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PlacedCopy:
-    """One copy at an upstream; memory in GiB with its KV cache."""
+    """One copy at an upstream; ``memory`` is in GiB and includes the KV cache."""
 
     phase: CopyPhase
     memory: float
@@ -27,10 +27,11 @@
 
 @dataclass(frozen=True)
 class PlacementTarget:
-    """One upstream: its memory in GiB and what it holds.
+    """One upstream: its memory in GiB and its copies.
 
-    ``free`` is the sidecar's own figure; less than capacity minus copies while an
-    old order may still arrive. ``open`` says whether it takes loads.
+    ``free`` is reported by the sidecar. It is less than the capacity minus all copies
+    while a delayed order may still arrive. ``accepting`` tells whether the upstream
+    accepts loads.
     """
 
     upstream: Upstream
@@ -41,12 +42,15 @@
     draining: bool
     copies: Mapping[Model, PlacedCopy]
     stale: Mapping[Model, PlacedCopy] = field(default_factory=dict)
-    """Copies of revisions that are no longer the wanted one."""
+    """Copies of revisions that the catalog no longer lists."""
 
 
 @dataclass(frozen=True)
 class ModelRequirement:
-    """One model or adapter, as the catalog has it, with its demand."""
+    """One model or adapter of the catalog, with its demand.
+
+    ``demand`` is in tokens per second; ``wanted`` is the number of copies to run.
+    """
 
     model: Model
     memory: float
@@ -55,11 +59,21 @@
     demand: float
     wanted: int
     floor: int = 1
-    """Copies that the demand takes up without a spare or any hysteresis."""
+    """Copies that the current demand requires, without the spare and the hysteresis."""
 
 
 class PlacementState:
-    """Sites and copies with the moves chosen so far applied."""
+    """Targets and copies after all moves chosen so far.
+
+    Attributes
+    ----------
+    free, freeing : dict
+        GiB per upstream that are free now, and GiB that pending unloads will free.
+    reserved : set
+        Upstreams whose memory is set aside for a load of a later round.
+    traffic : dict
+        Tokens per second that each upstream has to serve.
+    """
 
     def __init__(
         self,
@@ -110,26 +124,26 @@
         return sum(self.copy_demand(model) for model in target.copies)
 
     def copy_demand(self, model: Model) -> float:
-        """Return the tokens a second that each copy of a model has to carry."""
+        """Return the demand per copy of a model, in tokens per second."""
         need = self.needs.get(model)
         copies = len(self.serving[model]) + len(self.loading[model])
         return 0.0 if need is None else need.demand / max(1, copies)
 
     def copy_count(self, model: Model) -> int:
-        """Return the copies that serve or will, apart from leaving upstreams."""
+        """Return the serving and loading copies outside draining upstreams."""
         return len(self.serving[model]) + len(self.loading[model])
 
     def is_reachable(self, model: Model) -> bool:
-        """Return whether a copy of any revision serves or is on its way."""
+        """Return whether a copy of any revision is serving or loading."""
         return bool(self.serving[model] or self.loading[model] or self.stale[model])
 
     def zones(self, model: Model) -> set[Zone]:
-        """Return the availability zones that have a copy or will."""
+        """Return the availability zones with a serving or loading copy."""
         upstreams = self.serving[model] | self.loading[model]
         return {self.targets[upstream].zone for upstream in upstreams}
 
     def adapters_at(self, base: Model, target: PlacementTarget) -> list[Model]:
-        """Return the adapters of a base that are at a site and stay."""
+        """Return the adapters of a base model that a target has."""
         adapters = []
         for model in target.copies:
             need = self.needs.get(model)
@@ -138,14 +152,14 @@
         return adapters
 
     def load(self, model: Model, upstream: Upstream) -> None:
-        """Apply a load."""
+        """Apply the load of a model."""
         need = self.needs[model]
         self.free[upstream] -= need.memory
         self.loading[model].add(upstream)
         self.traffic[upstream] += self.copy_demand(model)
 
     def unload(self, model: Model, upstream: Upstream) -> None:
-        """Apply an unload; its memory comes free in a later round."""
+        """Apply the unload of a model; its memory becomes free in a later round."""
         placed = self.targets[upstream].copies[model]
         self.traffic[upstream] -= self.copy_demand(model)
         self.serving[model].discard(upstream)
@@ -153,6 +167,6 @@
         self.freeing[upstream] += placed.memory
 
     def unload_stale(self, model: Model, upstream: Upstream) -> None:
-        """Apply the unload of an old revision."""
+        """Apply the unload of a stale revision."""
         self.stale[model].discard(upstream)
         self.freeing[upstream] += self.targets[upstream].stale[model].memory
--- a/src/persimmonhitch/decide/warmup.py
+++ b/src/persimmonhitch/decide/warmup.py
@@ -1,10 +1,10 @@
-"""How fast traffic moves to a new or returned copy.
+"""Gradual shift of traffic to a new or returning copy.
 
-Load pattern: a copy comes up while its model is busy. It has the least work of all, so
-every entry would send it everything at once; its prefix cache is cold, and callers
-would see slow first tokens from the very copy that was to help. Its part of the
-traffic rises in a straight line over ``WARMUP_SECONDS``, the time in which a cache that
-serves a request a second has seen the common prefixes.
+Load pattern: a copy starts to serve while its model is busy. It has the least load, so
+every entry would send it all requests at once; its prefix cache is cold, and callers
+would get slow first tokens from the very copy that was added to help. Its share of the
+traffic rises linearly over ``WARMUP_S``, the time in which a cache that serves one
+request per second has seen the common prefixes.
 """
 
 from typing import Final
@@ -16,7 +16,7 @@
 def warmup_share(
     age_s: float, duration_s: float = WARMUP_S, min_share: float = MIN_SHARE
 ) -> float:
-    """Return the part of its usual traffic that a copy of this age may get."""
+    """Return the share of its normal traffic that a copy of ``age_s`` may get."""
     if age_s >= duration_s:
         return 1.0
     return min_share + (1.0 - min_share) * max(age_s, 0.0) / duration_s
