--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -358,13 +358,13 @@
         }
         for _ in range(len(controllers)):
             views = [_engine_view(c, in_use, now) for c in controllers]
-            allow_cold = self._load_rate.allowed(spec.loads_per_second, now)
+            cold_allowed = self._load_rate.allowed(spec.loads_per_second, now)
             self._update_missing(spec, missing, views, now)
-            move = self._overdue_move(spec, missing, demand, views, allow_cold)
+            move = self._overdue_move(spec, missing, demand, views, cold_allowed)
             if move is None:
-                move = next_move(spec.models, demand, views, allow_cold)
+                move = next_move(spec.models, demand, views, cold_allowed)
             if move is None:
-                move = self._idle_move(spec, missing, demand, views, allow_cold)
+                move = self._idle_move(spec, missing, demand, views, cold_allowed)
             if move is None:
                 return
             if move.cold:
@@ -399,12 +399,12 @@
         missing: MissingModels,
         demand: dict[Model, float],
         views: list[EngineView],
-        allow_cold: bool,
+        cold_allowed: bool,
     ) -> Move | None:
         missing.loading &= frozenset().union(*(view.coming for view in views))
         missing_for = missing.missing_for(self._clock())
         move = next_overdue(
-            spec.models, demand, views, missing_for, allow_cold, missing.loading
+            spec.models, demand, views, missing_for, cold_allowed, missing.loading
         )
         if move is not None:
             missing.loading.add(move.model)
@@ -417,7 +417,7 @@
         missing: MissingModels,
         demand: dict[Model, float],
         views: list[EngineView],
-        allow_cold: bool,
+        cold_allowed: bool,
     ) -> Move | None:
         for view in views:
             if view.models:
@@ -425,7 +425,7 @@
         unstaged = [v for v in views if v.upstream not in self._staged]
         staging = (
             next_staging(spec.models, demand, unstaged, views, missing.longest_first())
-            if allow_cold
+            if cold_allowed
             else None
         )
         if staging is not None:
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -376,8 +376,8 @@
         for server in (self.server, *self.status):
             server.start()
         host, _ = self.cfg.link[0]
-        own = (host, self.mesh.port)
-        link_host, link_port = (*self.cfg.advertised, own)[0]
+        bound = (host, self.mesh.port)
+        link_host, link_port = (*self.cfg.advertised, bound)[0]
         self.registration.start(
             {
                 "zone": self.cfg.zone,
@@ -431,14 +431,14 @@
             mistakes = "; ".join(str(mistake) for mistake in result.failure())
             log("settings_refused", mistakes=mistakes)
             return
-        new: DirectSettings = result.unwrap()
-        changed = [f for f, v in vars(new).items() if v != getattr(self.cfg, f)]
+        new_cfg: DirectSettings = result.unwrap()
+        changed = [f for f, v in vars(new_cfg).items() if v != getattr(self.cfg, f)]
         self.cfg = replace(
-            self.cfg, stop_notice=new.stop_notice, stop_limit=new.stop_limit
+            self.cfg, stop_notice=new_cfg.stop_notice, stop_limit=new_cfg.stop_limit
         )
         log("settings_read", changed=",".join(changed) or "-")
 
-    def stop(self, life: Lifecycle) -> None:
+    def stop(self, lifecycle: Lifecycle) -> None:
         """Leave without cutting a request.
 
         Readiness goes first and the listener stays open for a while, since the
@@ -448,17 +448,17 @@
         self.draining.set()
         self.server.leave()
         threading.Thread(target=self._step_down, name="leave", daemon=True).start()
-        life.forced.wait(self.cfg.stop_notice)
+        lifecycle.forced.wait(self.cfg.stop_notice)
         self.server.stop_listening()
         self.server.close_idle()
         self.refusing.set()
         self.dispatcher.close(STOPPING)
         timeout = self.cfg.stop_limit - STOP_MARGIN_S - (time.monotonic() - started_at)
-        unfinished = self.server.drain(timeout, life.forced)
+        unfinished = self.server.drain(timeout, lifecycle.forced)
         if unfinished:
             log("stop_cut", requests=unfinished)
             self.watchdog.abort_all()
-            self.server.drain(STOP_MARGIN_S / 2, life.forced)
+            self.server.drain(STOP_MARGIN_S / 2, lifecycle.forced)
         self._stopped.set()
 
     def _step_down(self) -> None:
@@ -471,9 +471,9 @@
     args = docopt(__doc__, argv)
     path = Path(args["--settings"])
 
-    def build(cfg: DirectSettings, life: Lifecycle) -> Entry:
+    def build(cfg: DirectSettings, lifecycle: Lifecycle) -> Entry:
         entry = Entry.from_config(cfg)
-        life.on_reload(lambda: entry.reload(path))
+        lifecycle.on_reload(lambda: entry.reload(path))
         return entry
 
     return run_service("direct", DirectSettings, args, build)
--- a/src/persimmonhitch/direct/update_delta.py
+++ b/src/persimmonhitch/direct/update_delta.py
@@ -13,12 +13,12 @@
 class UpdateDelta:
     """Keeps what was told last; times are monotonic seconds."""
 
-    _last: NodeNews | None = None
+    _last_update: NodeNews | None = None
     _full_at: float = 0.0
 
     def compute(self, update: NodeNews, now: float) -> NodeNews:
         """Return what is to be told of an entry's news."""
-        last, self._last = self._last, update
+        last, self._last_update = self._last_update, update
         if last is None or now - self._full_at >= FULL_UPDATE_INTERVAL_S:
             self._full_at = now
             return update
@@ -31,9 +31,9 @@
 
 
 def _changed_work(
-    last: tuple[Running, ...], now: tuple[Running, ...]
+    last: tuple[Running, ...], current: tuple[Running, ...]
 ) -> tuple[Running, ...]:
     old = set(last)
-    upstreams = {item.upstream for item in now}
+    upstreams = {item.upstream for item in current}
     ended = [Running(o.upstream, 0, 0, 0) for o in last if o.upstream not in upstreams]
-    return (*(item for item in now if item not in old), *ended)
+    return (*(item for item in current if item not in old), *ended)
--- a/tests/test_direct_desk.py
+++ b/tests/test_direct_engine_controller.py
@@ -9,7 +9,7 @@
 BIG, OTHER, SMALL = Model("big"), Model("other"), Model("small")
 
 
-def test_a_full_engine_is_not_overloaded_by_a_new_holder():
+def test_full_engine_is_not_overloaded_by_a_new_leader():
     """A new holder of the lease learns at once what an engine holds, but may not order
     it yet, since the orders of the one before are too recent. A call wants an adapter
     meanwhile. The adapter that was to make room for it must count as held until its
@@ -28,7 +28,7 @@
     assert len(engine.models[BIG]) == 2
 
 
-def test_orders_without_an_answer_are_not_carried_out_twice():
+def test_unanswered_orders_are_not_executed_twice():
     """An order gets no answer and the engine carries it out seconds later, after
     another one. By then its place is taken; the engine must refuse it.
     """
@@ -43,24 +43,24 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "model", "evictions", "after"),
+    ("resident", "model", "evictions", "expected"),
     [
         (("big",), OTHER, (), {"big", "other"}),
         (("big", "other"), SMALL, (), {"big", "other", "small"}),
         (("big", "other", "small"), OTHER, (), {"big", "other", "small"}),
     ],
 )
-def test_models_are_loaded_where_there_is_room(held, model, evictions, after):
+def test_models_are_loaded_into_free_memory(resident, model, evictions, expected):
     clock = Clock()
-    engine = FakeEngine(clock, models=held)
+    engine = FakeEngine(clock, models=resident)
     controller, _published = desk_of(engine, clock)
     controller.refresh()
     controller.load_model(model, evictions, 1.7)
-    assert set(engine.models) == after
+    assert set(engine.models) == expected
     assert engine.overfull == []
 
 
-def test_a_victim_leaves_before_the_load_and_is_told_first():
+def test_evicted_model_is_unloaded_before_the_load():
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
     controller, _published = desk_of(engine, clock)
@@ -70,7 +70,7 @@
     assert [order.load for order, _ in engine.log] == [False, True]
 
 
-def test_callers_wait_for_the_load_alone():
+def test_load_time_excludes_the_report_lag():
     """A model that runs nothing makes room for one that callers wait for. The engine's
     reports show each step some hundred ms late; waited for twice, they take as long as
     the load itself, and callers whose aim is not much more get their answers late.
@@ -85,7 +85,7 @@
     assert serves_at - started_at < 1.7 + 0.1
 
 
-def test_a_load_from_the_weight_store_counts_when_it_is_seen():
+def test_cold_load_completes_when_the_report_shows_it():
     """How long it takes depends on the loads of all engines; told too soon, callers
     are sent to it and refused there.
     """
@@ -100,7 +100,7 @@
     assert serves_at - started_at > 12.0
 
 
-def test_a_call_that_nobody_told_of_holds_back_the_load():
+def test_unreported_request_delays_the_load():
     """An entry is cut off while its calls use the model that is to make room. The
     engine accepts the unload and waits for them. A load that it took before they have
     ended would be more than it has room for, and it would crash with all its calls.
@@ -119,7 +119,7 @@
     assert engine.overfull == []
 
 
-def test_no_model_is_loaded_into_memory_that_is_taken():
+def test_no_model_is_loaded_into_used_memory():
     """The plan counted on room that another load has taken meanwhile."""
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other", "small"))
@@ -141,7 +141,7 @@
     assert engine.models[BIG] == {"a1", "a2"}
 
 
-def test_an_adapter_that_still_runs_keeps_its_place():
+def test_adapter_in_use_keeps_its_slot():
     """An entry is cut off from the others while its calls use an adapter, so that the
     adapter looks idle. Its unload is accepted and waits for those calls. Counted as
     gone at once, its place would be given to another adapter; the engine, ordered
@@ -164,7 +164,7 @@
     assert "a3" in engine.models[BIG]
 
 
-def test_one_unload_at_a_time_waits_for_its_calls():
+def test_one_pending_adapter_unload_at_a_time():
     """The same: one place is wanted, so one adapter leaves, not one at each try."""
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
@@ -176,7 +176,7 @@
     assert [order.load for order, _ in engine.log] == [False]
 
 
-def test_adapters_have_their_turn_between_two_loads():
+def test_adapter_loads_run_between_model_loads():
     """Guards against adapters that are refused while an engine loads model on model."""
     clock = Clock()
     engine = FakeEngine(clock)
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -101,7 +101,7 @@
         yield running
 
 
-def test_a_model_that_callers_wait_for_is_ordered_at_their_word(leader):
+def test_load_request_starts_a_round_immediately(leader):
     """Calls come for a model that no engine has, and wait for half a second for the
     word that it is being loaded. A look at what is asked that comes by its period only
     takes a good part of that from them.
@@ -112,7 +112,7 @@
     wait_for(lambda: any(o.model == SMALL for o, _ in engine.log), "the order")
 
 
-def test_adapters_do_not_wait_for_loads_of_models(monkeypatch):
+def test_adapter_loads_do_not_wait_for_model_loads(monkeypatch):
     """Guards against adapters refused for seconds while many engines load models."""
     monkeypatch.setattr(leader_module, "MAX_WORKERS", 1)
     with started_leader(("e1", "e2")) as leader:
@@ -127,10 +127,10 @@
         wait_for(lambda: any(o.adapter for o, _ in engine.log), "the order", 1.0)
 
 
-def test_what_calls_use_is_known_by_model(leader):
+def test_model_used_without_an_adapter_is_in_use(leader):
     """Calls run at an engine that use no adapter. Taken for idle, their model would be
     unloaded first, and the engine would load nothing until they have ended.
     """
-    at_e1 = Running(Upstream("e1"), 1, 100, 0, (Use(BIG, None),))
-    leader.receive_entry_update(Vm("b"), entry_update({}, (at_e1,)))
+    work = Running(Upstream("e1"), 1, 100, 0, (Use(BIG, None),))
+    leader.receive_entry_update(Vm("b"), entry_update({}, (work,)))
     assert {use.model for use in leader._uses_by_upstream()[Upstream("e1")]} == {BIG}
--- a/tests/test_direct_lease.py
+++ b/tests/test_direct_lease.py
@@ -28,7 +28,7 @@
     return clock, store, *lease_keepers
 
 
-def test_a_holder_that_resigns_is_followed_at_once():
+def test_released_lease_is_acquired_immediately():
     """The holder is cut off from the store; the others are not. It resigns and says
     so; without its word they wait until its time is over.
     """
@@ -44,7 +44,7 @@
     assert second.before.vm == A
 
 
-def test_a_resigned_epoch_is_not_taken_up_again():
+def test_released_epoch_is_not_reused():
     clock, _store, first, second = keepers()
     first.step()
     epoch = first.resign()
@@ -56,7 +56,7 @@
     assert second.epoch() is None
 
 
-def test_the_holder_s_own_word_counts_from_its_last_renewal():
+def test_reported_renewal_counts_from_its_time():
     """The holder's VM loses power. Another entry that knows when it last renewed takes
     the lease when it is over; one that only then begins to look would wait once more.
     """
@@ -70,7 +70,7 @@
     assert first.epoch() is None
 
 
-def test_after_an_outage_the_holder_has_its_time_to_renew():
+def test_leader_can_renew_after_a_store_outage():
     """Nobody reached the store for seconds, and all come back at the same moment. A
     peer that counts the outage as the holder's silence would take its lease.
     """
@@ -87,7 +87,7 @@
     assert second.epoch() is None
 
 
-def test_a_new_process_on_the_holder_s_vm_takes_over_at_once():
+def test_new_process_on_the_leaders_vm_takes_over_immediately():
     clock, store, first, _second = keepers()
     first.step()
     restarted = LeaseKeeper(store, "orders", A, Incarnation("new"), 1.5, clock)
@@ -97,7 +97,7 @@
     assert restarted.before.held_for < GUARD_S
 
 
-def test_a_release_tells_who_held_the_lease():
+def test_released_lease_names_its_predecessor():
     """The holder stops as planned and leaves the lease free. A process that starts
     just then finds a lease of nobody, and would order engines at once that had an
     order a moment ago.
@@ -110,7 +110,7 @@
     assert second.before.vm == A
 
 
-def test_a_lease_that_nobody_ever_held_has_no_predecessor():
+def test_first_lease_has_no_predecessor():
     _clock, _store, first, _second = keepers()
     first.step()
     assert first.before is None
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "last", "ended", "resigned", "upstream", "wait"),
+    ("process_age_s", "previous", "ended", "released", "upstream", "wait_s"),
     [
         (OLD_PROCESS_S, None, False, False, E1, 0.0),
         (OLD_PROCESS_S, predecessor(B), False, False, E1, GUARD_S - 1.0),
@@ -143,18 +143,18 @@
         (NEW_PROCESS_S, predecessor(B, held_for=GUARD_S), False, False, E2, 0.0),
     ],
 )
-def test_when_an_engine_may_be_ordered(age, last, ended, resigned, upstream, wait):
+def test_orders_allowed_at(process_age_s, previous, ended, released, upstream, wait_s):
     """Engine e1 was ordered a second ago by VM a, e2 by nobody of whom this process was
     told. Orders of two holders that come close together could undo each other; and a
     process that has just started was told of no order before its start.
     """
     clock = Clock()
     history = OrderHistory(B, GUARD_S, clock)
-    clock.now += age - 1.0
+    clock.now += process_age_s - 1.0
     history.record_orders(A, E1, 4)
     clock.now += 1.0
     history.record_orders(A, E1, 4)
-    if resigned:
+    if released:
         history.record_release(A, {E1: 0.5})
-    allowed_at = history.orders_allowed_at(upstream, clock.now, last, ended)
-    assert max(0.0, allowed_at - clock.now) == pytest.approx(wait)
+    allowed_at = history.orders_allowed_at(upstream, clock.now, previous, ended)
+    assert max(0.0, allowed_at - clock.now) == pytest.approx(wait_s)
--- a/tests/test_direct_start.py
+++ b/tests/test_direct_start.py
@@ -7,10 +7,10 @@
 
 from fleet import wait_for
 
-BAD_SETTINGS = 2
+INVALID_SETTINGS_EXIT_CODE = 2
 
 
-def blocks_hup(pid):
+def blocks_sighup(pid):
     """Return whether a process holds SIGHUP back."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
@@ -20,13 +20,14 @@
     return bool(masks) and bool(int(masks[0], 16) >> (signal.SIGHUP - 1) & 1)
 
 
-def test_a_change_of_settings_does_not_end_a_process_that_starts():
+def test_sighup_during_startup_does_not_end_the_process():
     """Guards against SIGHUP while modules load, when nothing waits for it yet."""
     args = [sys.executable, "-m", "persimmonhitch.direct", "--settings=none.ini"]
-    popen = subprocess.Popen(args, stderr=subprocess.DEVNULL)
+    process = subprocess.Popen(args, stderr=subprocess.DEVNULL)
     wait_for(
-        lambda: blocks_hup(popen.pid) or popen.poll() is not None, "the first module"
+        lambda: blocks_sighup(process.pid) or process.poll() is not None,
+        "the first module",
     )
-    assert popen.poll() is None
-    popen.send_signal(signal.SIGHUP)
-    assert popen.wait(20) == BAD_SETTINGS
+    assert process.poll() is None
+    process.send_signal(signal.SIGHUP)
+    assert process.wait(20) == INVALID_SETTINGS_EXIT_CODE
--- a/tests/test_direct_stop.py
+++ b/tests/test_direct_stop.py
@@ -15,7 +15,7 @@
         return Answer(200, {"Content-Length": "2"}, [b"ok"]).send(start_response)
 
 
-def test_an_idle_connection_is_closed_at_a_stop():
+def test_idle_connection_is_closed_on_stop():
     """A caller keeps a connection to an entry that is stopping and sends its next
     request on it seconds later. It would be cut in the middle of its answer at the end
     of the entry's time; closed before, the caller goes elsewhere with all of its time.
@@ -35,7 +35,7 @@
     server.close()
 
 
-def test_the_end_of_a_server_writes_to_no_closed_pipe(monkeypatch):
+def test_close_does_not_write_to_a_closed_pipe(monkeypatch):
     """Guards against a wake-up that is written after the server has closed its pipe."""
     server = WebServer(App(), "127.0.0.1", 0, 4)
     server.start()
@@ -44,11 +44,11 @@
     close = trigger.close
     monkeypatch.setattr(trigger, "close", lambda: (close(), closed.set()))
 
-    def pull_after_an_earlier_one():
+    def pull_twice():
         pull()
         closed.wait(0.2)
         pull()
 
-    monkeypatch.setattr(trigger, "_physical_pull", pull_after_an_earlier_one)
+    monkeypatch.setattr(trigger, "_physical_pull", pull_twice)
     server.close()
     assert closed.is_set()
