--- a/src/persimmonhitch/direct/__init__.py
+++ b/src/persimmonhitch/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Calls upstreams directly, on a platform that lists them in its store."""
+"""Entry that calls upstreams directly, as listed in the store of the platform."""
--- a/src/persimmonhitch/direct/__main__.py
+++ b/src/persimmonhitch/direct/__main__.py
@@ -4,13 +4,13 @@
 import signal
 import sys
 
-# It would end the process while the modules load; whoever waits for signals takes it.
+# SIGHUP would end the process during imports; main() waits for it later.
 signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 from .main import main  # noqa: E402
 
 code = main()
 sys.stdout.flush()
-# Threads that wait in a call to the store or an upstream would hold up the exit, and
-# the platform ends a process that does not leave in its time without notice.
+# Threads blocked in a call to the store or an upstream would delay the exit, and the
+# platform kills a process that exceeds its stop time without notice.
 os._exit(code)
--- a/src/persimmonhitch/direct/abort.py
+++ b/src/persimmonhitch/direct/abort.py
@@ -1,4 +1,4 @@
-"""Ends a request from another thread, and the watch that decides to."""
+"""Aborts requests from another thread when the caller leaves or time runs out."""
 
 import threading
 import time
@@ -9,12 +9,12 @@
 from ..observe.logs import log
 
 POLL_INTERVAL_S: Final = 0.05
-"""Seconds between two looks at the requests under way. Work for a caller that has gone
-has to end within half a second; this leaves nine tenths of it to the network."""
+"""Work for a caller that has disconnected must end within 0.5 s; this interval leaves
+nine tenths of that time for the network."""
 
 
 class AbortReason(Enum):
-    """Why a request ends before its answer does."""
+    """Why a request is aborted."""
 
     CALLER_LEFT = "caller_left"
     TIMEOUT = "timeout"
@@ -22,7 +22,7 @@
 
 
 class Abort:
-    """One request that may be ended; the action wakes the thread that serves it."""
+    """Abort handle of a request; the action unblocks the thread that serves it."""
 
     def __init__(self, caller_left: Callable[[], bool], deadline_at: float) -> None:
         self.caller_left = caller_left
@@ -32,7 +32,7 @@
         self._lock = threading.Lock()
 
     def set_action(self, action: Callable[[], None] | None) -> None:
-        """Set what ends the present step; runs at once if it is too late."""
+        """Set the action that interrupts the current step; run it now if aborted."""
         with self._lock:
             self._action = action
             triggered = self.reason is not None
@@ -40,7 +40,7 @@
             action()
 
     def trigger(self, reason: AbortReason) -> None:
-        """End the request."""
+        """Abort the request; only the first reason counts."""
         with self._lock:
             if self.reason is not None:
                 return
@@ -51,10 +51,10 @@
 
 
 class Watchdog:
-    """Ends requests whose caller has left or whose time is over.
+    """Aborts requests whose caller has disconnected or whose deadline has passed.
 
-    The thread of a request waits in a read of its upstream's answer and would learn of
-    neither before the next byte comes.
+    The thread of a request is blocked in a read of the upstream's answer and would
+    detect neither before the next byte arrives.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -64,26 +64,26 @@
         self._thread = threading.Thread(target=self._run, name="watchdog", daemon=True)
 
     def start(self) -> None:
-        """Watch from now on."""
+        """Start the polling thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop the polling thread."""
         self._stopping.set()
 
     def add(self, abort: Abort) -> None:
-        """Watch one request."""
+        """Start watching a request."""
         self._aborts.add(abort)
 
     def remove(self, abort: Abort) -> None:
-        """Watch it no more."""
+        """Stop watching a request."""
         self._aborts.discard(abort)
 
     def __len__(self) -> int:
         return len(self._aborts)
 
     def abort_all(self) -> int:
-        """End every request; return how many there were."""
+        """Abort all requests; return their number."""
         aborts = list(self._aborts)
         for abort in aborts:
             abort.trigger(AbortReason.STOPPING)
@@ -94,7 +94,7 @@
             self.poll()
 
     def poll(self) -> None:
-        """Look at every request once."""
+        """Check every request once."""
         now = self._clock()
         for abort in self._aborts.copy():
             try:
@@ -103,5 +103,5 @@
                 elif now >= abort.deadline_at:
                     abort.trigger(AbortReason.TIMEOUT)
             except Exception as exc:
-                # One request's fault must not leave all others unwatched.
+                # A failure for one request must not stop the checks of all others.
                 log("abort_failed", error=repr(exc))
--- a/src/persimmonhitch/direct/admit.py
+++ b/src/persimmonhitch/direct/admit.py
@@ -1,4 +1,4 @@
-"""Reads a request: its route, its account and what it needs."""
+"""Admits a request: finds its route, account and dispatch parameters."""
 
 import random
 import time
@@ -18,19 +18,19 @@
 from ..web import Request
 
 DEFAULT_TIMEOUT_S = 600.0
-"""Seconds for a caller that states none; its route's timeout ends it sooner."""
+"""Timeout of requests that state no deadline; the route's timeout ends them sooner."""
 
 MIN_EVENT_WAIT_S: Final = 2.0
 LATENCY_TARGET_FACTOR: Final = 4.0
 TOKEN_GAP_FACTOR: Final = 8.0
-"""Callers leave a stream of which nothing comes for the longest of these: seconds,
-times its route's aim for the first event, times that for its pauses. By the platform's
-interface."""
+"""By the platform's interface, callers abandon a stream without a first event after the
+longest of ``MIN_EVENT_WAIT_S``, the latency target of its route times
+``LATENCY_TARGET_FACTOR`` and the token gap target times ``TOKEN_GAP_FACTOR``."""
 
 
 @dataclass(frozen=True)
 class ActiveConfig:
-    """The configuration in force, with its routes ready to be searched."""
+    """The active configuration and its route table."""
 
     cfg: FleetConfig
     routes: RouteTable
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Admitted:
-    """A request that may be served, before its account has paid for it."""
+    """A request that passed admission but is not yet charged to its account."""
 
     req: Request
     caller: CallerHeaders
@@ -47,7 +47,7 @@
     cost: Tokens
     request: Need
     deadline_at: float
-    """Monotonic time at which its caller or its route gives it up."""
+    """Monotonic time at which the caller's deadline or the route's timeout expires."""
 
 
 def admit(
@@ -56,7 +56,7 @@
     active: ActiveConfig,
     clock: Callable[[], float] = time.monotonic,
 ) -> Result[Admitted, Failure]:
-    """Return the request with its route and account, or why it can't be served."""
+    """Return the admitted request, or the failure that rejects it."""
     if not active.cfg.version:
         reason = "no configuration is in force here yet"
         return Err(Failure(ErrorCode.STORE_UNAVAILABLE, reason, retry_after=0.5))
--- a/src/persimmonhitch/direct/app.py
+++ b/src/persimmonhitch/direct/app.py
@@ -1,4 +1,4 @@
-"""The WSGI applications of an entry that calls upstreams directly."""
+"""WSGI applications of the direct entry: caller traffic and status endpoints."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class CallerApp:
-    """Answers callers; ``refusal`` says why a call has no thread to wait with."""
+    """Answers callers, unless ``refusal`` returns a failure for all new requests."""
 
     def __init__(self, gateway: Gateway, refusal: Callable[[], Failure | None]) -> None:
         self._gateway = gateway
@@ -45,9 +45,9 @@
 
 
 def _refuse_early(failure: Failure, request_id: RequestId) -> Answer:
-    """Refuse a request before it is looked at; its id leads to the reason all the same.
+    """Refuse a request before admission and log the reason under its id.
 
-    Without the id a caller's complaint finds no line, and looks like a lost request.
+    Without the id, a refused request can't be found in the log and appears lost.
     """
     log(
         "request_refused",
@@ -60,7 +60,7 @@
 
 
 class StatusApp:
-    """Answers the balancer, and whoever reads the metrics."""
+    """Serves readiness checks of the load balancer and the metrics."""
 
     def __init__(self, ready: Callable[[], bool], metrics: Metrics) -> None:
         self._ready = ready
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one request at upstreams, as far as its kind allows them."""
+"""Attempts of a request at upstreams, repeated as its call kind permits."""
 
 import time
 from collections.abc import Callable
@@ -24,13 +24,13 @@
 from .upstream_limits import UpstreamLimits
 
 MAX_REFUSALS: Final = 3
-"""Upstreams that may refuse a request before it is refused itself; each further one
-costs the fleet's budget of retries and the caller time."""
+"""Refusals by upstreams before the caller gets a refusal; each further attempt uses
+the retry budget and the caller's time."""
 SERVER_ERROR_STATUS: Final = 500
 
 
 class AttemptRunner:
-    """Sends requests until an upstream answers, or nothing more may be tried."""
+    """Sends requests until an upstream answers or no further attempt is allowed."""
 
     def __init__(
         self,
@@ -48,14 +48,14 @@
         self._retries = RetryBudget()
 
     def send_first(self, request: InFlightRequest) -> Result[Reply, Failure]:
-        """Send a request that has just come."""
+        """Send a newly admitted request."""
         self._retries.on_request(self._clock())
         return self._send_until_answered(request, None)
 
     def retry(
         self, request: InFlightRequest, failure: Failure
     ) -> Result[Reply, Failure]:
-        """Try once more after an answer was lost, where that is allowed."""
+        """Send a request again after a lost answer, if a retry is allowed."""
         request.release()
         if not self._may_retry(request):
             return Err(failure)
@@ -64,7 +64,7 @@
     def resume(
         self, request: InFlightRequest, failure: Failure, last_event_id: str | None
     ) -> Result[Reply, Failure]:
-        """Return the answer of another run that goes on after an event."""
+        """Return the answer of a new attempt that continues after the last event."""
         request.release()
         route = request.admitted.route
         allowed = (
@@ -96,7 +96,7 @@
     def _send_until_answered(
         self, request: InFlightRequest, last_event_id: str | None
     ) -> Result[Reply, Failure]:
-        """Send until an upstream answers, or nothing more may be tried."""
+        """Send until an upstream answers or no further attempt is allowed."""
         while True:
             result = self._attempt(request, last_event_id)
             if isinstance(result, Success):
@@ -187,7 +187,7 @@
     def _check_reply(
         self, request: InFlightRequest, reply: Reply
     ) -> Result[Reply, Failure]:
-        """Return the answer if it is the upstream's word on a request it ran."""
+        """Return the answer if the upstream executed the request, else a failure."""
         assert request.permit is not None
         record = request.permit.record
         marks = reply.marks
@@ -259,7 +259,7 @@
         )
 
     def record_lost_answer(self, request: InFlightRequest, exc: Exception) -> Failure:
-        """Note that an answer was cut short; return what its request is told."""
+        """Record a truncated answer; return the failure for its caller."""
         if request.abort.reason is not None:
             return self._abort_failure(
                 request, Failure(ErrorCode.DEADLINE, "", Verdict.RAN)
@@ -275,10 +275,10 @@
         return failure
 
     def _report_loss(self, request: InFlightRequest, record: UpstreamRecord) -> None:
-        """Have it known that a call may have crashed its upstream.
+        """Report that a request may have crashed its upstream.
 
-        One whose stream has gone on for a while has not. The head of an answer may be
-        lost with its upstream, so that none says nothing.
+        A request whose stream has run for a while is no suspect. A missing head proves
+        nothing, as it may be lost with the upstream.
         """
         is_stream = request.admitted.route.kind is CallKind.STREAM
         answered_for = (
@@ -288,7 +288,7 @@
         self._poison.lost(request.fingerprint, record, recent)
 
     def _abort_failure(self, request: InFlightRequest, failure: Failure) -> Failure:
-        """Return what a request is told that was ended by its watch."""
+        """Return the failure for the caller of an aborted request."""
         reason = request.abort.reason
         assert reason is not None
         verdict = failure.verdict
@@ -303,10 +303,10 @@
 
 
 def _overall_failure(request: InFlightRequest, failure: Failure) -> Failure:
-    """Return a failure whose verdict holds for all attempts of a request.
+    """Return a failure whose verdict covers all attempts of a request.
 
-    The last upstream's word that it has not run the request says nothing of the one
-    before, whose answer was lost.
+    If the last upstream did not execute the request, an earlier upstream whose answer
+    was lost may still have.
     """
     if failure.verdict is not Verdict.NOT_RUN or request.attempts == 0:
         return failure
--- a/src/persimmonhitch/direct/connection_pool.py
+++ b/src/persimmonhitch/direct/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, kept between requests."""
+"""Pool of connections to upstreams."""
 
 import contextlib
 import socket
@@ -14,17 +14,17 @@
 from urllib3.util.wait import wait_for_read
 
 CONNECT_TIMEOUT_S: Final = 0.6
-"""Seconds; some hundred trips between two zones. A VM without power answers nothing,
-and its callers have to reach another one within their own time."""
+"""Some hundred round trips between two availability zones. A VM without power never
+answers, and its callers must reach another upstream before their deadline."""
 MAX_IDLE_S: Final = 8.0
-"""Seconds that a connection is kept unused where the upstream states no limit."""
+"""Maximum idle time of a connection if the upstream states no limit."""
 IDLE_MARGIN_S: Final = 0.5
-"""Seconds before an upstream's own limit at which a connection is given up: a request
-sent as the upstream closes is lost, and it may have run."""
+"""Time before the upstream's own limit at which an idle connection expires: a request
+sent while the upstream closes the connection is lost, and may have been executed."""
 MAX_IDLE_CONNS: Final = 32
-"""Unused connections to one upstream; more are closed at once."""
+"""Maximum idle connections per upstream; any excess is closed at once."""
 MAX_UNACKED_MS: Final = 2000
-"""Milliseconds without an acknowledgement after which a connection is dead."""
+"""Time without a TCP acknowledgement after which a connection is dead."""
 
 Address = tuple[str, int]
 
@@ -37,7 +37,7 @@
 
 
 class ConnectionPool:
-    """Takes and keeps connections; safe to use from many threads."""
+    """Opens and pools connections; thread-safe."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -45,22 +45,22 @@
         self._lock = threading.Lock()
 
     def acquire(self, address: Address, max_idle_s: float) -> HTTPConnection | None:
-        """Return a kept connection that was idle for at most ``idle_most`` seconds."""
+        """Return a pooled connection idle for at most ``max_idle_s``, or None."""
         while True:
             with self._lock:
                 idle = self._idle[address].pop() if self._idle[address] else None
             if idle is None:
                 return None
             now = self._clock()
-            # Bytes that wait on an idle connection are its end, or belong to no
-            # request of ours; the next caller would get them as its answer.
+            # Readable data on an idle connection is a close or a surplus answer, which
+            # the next caller would receive as its own.
             if now < idle.expires_at and not _readable(idle.conn):
                 if now - idle.idle_since <= max_idle_s:
                     return idle.conn
             idle.conn.close()
 
     def open(self, address: Address, timeout_s: float) -> HTTPConnection | None:
-        """Return a new connection, or None if it can't be made in time."""
+        """Return a new connection, or None if it can't be opened in time."""
         conn = HTTPConnection(*address, timeout=min(CONNECT_TIMEOUT_S, timeout_s))
         try:
             conn.connect()
@@ -70,15 +70,15 @@
         sock = conn.sock
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with contextlib.suppress(OSError):
-            # Without it a peer that lost its power holds the thread until the
-            # request's own end, and the connection would be kept after it.
+            # Otherwise an upstream without power blocks the thread up to the deadline
+            # of its request, and the dead connection returns to the pool.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKED_MS)
         return conn
 
     def release(
         self, address: Address, conn: HTTPConnection, idle_limit: float | None
     ) -> None:
-        """Keep a connection whose answer has been read to its end."""
+        """Return a connection to the pool after its answer was read completely."""
         max_idle = MAX_IDLE_S if idle_limit is None else idle_limit - IDLE_MARGIN_S
         now = self._clock()
         with self._lock:
@@ -90,7 +90,7 @@
             conn.close()
 
     def close_idle(self, address: Address) -> None:
-        """Close what is kept to an upstream that left or failed."""
+        """Close the idle connections to a removed or failed upstream."""
         with self._lock:
             idle = self._idle.pop(address, [])
         for entry in idle:
--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -1,4 +1,4 @@
-"""Where calls wait for an upstream, and who goes first."""
+"""Queues requests for upstream slots and assigns slots by rank."""
 
 import threading
 import time
@@ -29,8 +29,9 @@
 from .upstream_table import UpstreamTable
 
 RESEND_INTERVAL_S = 0.25
-"""Seconds after which something that is still missing is asked for again; an order for
-an adapter takes a tenth of that, and a lost message shows by nothing else."""
+"""Interval between load requests for a model or adapter that is still missing.
+
+A lost message has no other symptom; an adapter load takes a tenth of the interval."""
 
 
 @dataclass(eq=False)
@@ -43,14 +44,14 @@
     failure: Failure | None = None
     last_choice: Choice = Choice(Step.WAIT)
     limited_by: frozenset[Upstream] = frozenset()
-    """All upstreams that could run it, if all of them take no more requests now."""
+    """All capable upstreams if every one is at its request limit, else empty."""
 
     def sort_key(self) -> tuple[int, float]:
         return self.request.rank, self.request.arrived
 
 
 class Permit:
-    """A place at one upstream for one attempt; release it exactly once."""
+    """A slot at an upstream for one attempt; releasing it twice has no effect."""
 
     def __init__(
         self,
@@ -69,11 +70,11 @@
         self._released = False
 
     def record_activity(self) -> None:
-        """Note that the upstream has said something."""
+        """Record that the upstream sent output."""
         self._dispatcher.record_activity(self.record)
 
     def record_first_token(self) -> None:
-        """Note that the upstream has read the prompt."""
+        """Record that the upstream has processed the prompt."""
         if not self._prompt_read:
             self._prompt_read = True
             self._dispatcher.record_first_token(
@@ -81,14 +82,14 @@
             )
 
     def release(self) -> None:
-        """Give the place back."""
+        """Release the slot."""
         if not self._released:
             self._released = True
             self._dispatcher.release(self.record, self.request, self._prompt_read)
 
 
 class Dispatcher:
-    """Hands out places at upstreams, the most urgent call first."""
+    """Assigns upstream slots to requests, lowest rank first, then earliest arrival."""
 
     def __init__(
         self,
@@ -112,12 +113,12 @@
         self._cfg: FleetConfig | None = None
         self._closing: Failure | None = None
 
-    # -- calls -------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------
 
     def acquire(
         self, request: Need, abort: Abort, excluded: frozenset[Upstream] = frozenset()
     ) -> Result[Permit, Failure]:
-        """Wait for a place; return it, or why there is none in time."""
+        """Wait for a slot; return its permit, or a failure if none is free in time."""
         now = self._clock()
         waiter = _Waiter(request, excluded, give_up_at(request))
         with self._lock:
@@ -150,13 +151,13 @@
         return trial_failure or refusal(waiter.last_choice.step, waiter.request)
 
     def _refuse_if_load_is_late(self, waiter: _Waiter, now: float) -> None:
-        """Refuse at once what waits for a load that ends too late."""
+        """Refuse a waiting request at once if its model will be loaded too late."""
         request = waiter.request
         if waiter.last_choice.step is not Step.LOAD or request.model is None:
             return
         ready_at = self._ready_at.get(request.model, 0.0)
         if ready_at <= now:
-            # Nobody has said yet that it is being loaded.
+            # The leader has not reported a load of this model yet.
             waiter.give_up_at = min(request.deadline_at, now + LOAD_WORD)
             return
         if ready_at < load_limit(request):
@@ -166,28 +167,28 @@
         waiter.decided.set()
 
     def record_demand(self, model: Model, tokens: float) -> None:
-        """Count what callers ask of a model, whether it is served or not."""
+        """Add requested tokens of a model to its demand, also if the request fails."""
         with self._lock:
             self._demand[model] = self._demand.get(model, 0.0) + tokens
 
     def record_first_token(
         self, record: UpstreamRecord, request: Need, sent_at: float, unread: int
     ) -> None:
-        """Count a first token; its engine may have room for the next prompt."""
+        """Count a first token, which marks the prompt of its request as processed."""
         with self._lock:
             self._table.record_first_token(
                 record.name, request, self._clock() - sent_at, unread
             )
 
     def release(self, record: UpstreamRecord, request: Need, prompt_read: bool) -> None:
-        """Count the end of an attempt and let the next one in."""
+        """Count the end of an attempt and assign the free slot to a waiting request."""
         with self._lock:
             self._table.record_finish(record.name, request, prompt_read)
             self._poison.ended(request.call, record.name)
             self._match_waiters(record)
 
     def close(self, failure: Failure) -> None:
-        """Refuse what waits, and what comes; it has time left to go elsewhere."""
+        """Refuse waiting and new requests while they can still reach another entry."""
         with self._lock:
             self._closing = failure
             for waiter in self._waiters:
@@ -195,10 +196,9 @@
                 waiter.decided.set()
 
     def _match_waiters(self, freed: UpstreamRecord | None = None) -> None:
-        """Give every place that is free to the first that can use it.
+        """Assign free slots to waiting requests in order of rank and arrival.
 
-        Where it is known that only ``freed`` has a place more than before, calls that
-        can't run there are not looked at.
+        If only ``freed`` has gained a slot, skip requests that can't run there.
         """
         for waiter in sorted(self._waiters, key=_Waiter.sort_key):
             if waiter.decided.is_set():
@@ -223,7 +223,7 @@
         return at_limit & able if at_limit and able <= at_limit else frozenset()
 
     def _refuse_limited(self, waiter: _Waiter) -> None:
-        """Refuse at once what finds no place in its time."""
+        """Refuse a request at once if every capable upstream stays limited too long."""
         wait = self._limits.wait(waiter.limited_by)
         now = self._clock()
         if wait is None:
@@ -259,22 +259,22 @@
             self._requested[target] = now
             self._send_load_request(Want(*target, self._demand.get(model, 0.0)))
 
-    # -- what is known -----------------------------------------------------------
+    # -- upstream state ----------------------------------------------------------
 
     def configure(self, cfg: FleetConfig) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         with self._lock:
             self._cfg = cfg
             self._table.configure(cfg)
 
     def update(self, records: list[UpstreamRecord]) -> None:
-        """Take the list of upstreams."""
+        """Apply a new list of upstreams."""
         with self._lock:
             self._table.update(records)
             self._match_waiters()
 
     def receive_inventory(self, msg: HoldingNews) -> None:
-        """Take what an engine holds now."""
+        """Apply the leader's report of the models that an engine holds or loads."""
         now = self._clock()
         with self._lock:
             for model, seconds in msg.coming.items():
@@ -286,21 +286,21 @@
                     self._refuse_if_load_is_late(waiter, now)
 
     def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
-        """Take what a peer has at each upstream; what waits is looked at by ``tick``.
+        """Apply a peer's work at each upstream; ``tick`` matches waiting requests.
 
-        Dozens of peers tell more often than their places change, and a look at all
-        that waits at each message would take all of a small VM's time.
+        Dozens of peers send updates more often than their slots change, and matching
+        all waiting requests at each update would use all CPU time of a small VM.
         """
         with self._lock:
             self._table.receive_entry_update(vm, msg)
 
     def record_missing(self, record: UpstreamRecord, request: Need) -> None:
-        """Note that an engine lacks what its records say it has."""
+        """Record that an engine lacks a model or adapter listed in its inventory."""
         with self._lock:
             self._table.record_missing(record.name, request)
 
     def record_failure(self, record: UpstreamRecord, unreachable: bool) -> None:
-        """Note a failed answer, or a connection that could not be made."""
+        """Record a failed answer or, if ``unreachable``, a failure to connect."""
         now = self._clock()
         with self._lock:
             state = self._table.get(record.name)
@@ -314,7 +314,7 @@
             log("upstream_out", upstream=record.name, unreachable=unreachable)
 
     def record_success(self, record: UpstreamRecord) -> None:
-        """Note an answer that is as it should be."""
+        """Record a successful answer."""
         now = self._clock()
         with self._lock:
             state = self._table.get(record.name)
@@ -323,23 +323,23 @@
                 state.health.ok(now)
 
     def record_activity(self, record: UpstreamRecord) -> None:
-        """Note a sign of life; without the lock, since each token is one."""
+        """Record output of an upstream; runs per token, therefore without the lock."""
         state = self._table.get(record.name)
         if state is not None:
             state.last_activity_at = self._clock()
 
     def entry_update(self) -> NodeNews:
-        """Return this entry's work for its peers; what it spent is left empty."""
+        """Return this entry's work as an update for peers, without its usage."""
         with self._lock:
             return NodeNews({}, dict(self._demand), self._table.own_work())
 
     def prompt_read_rate(self, service: Service) -> float:
-        """Return the prompt tokens a second that an engine of a service reads."""
+        """Return the prompt tokens per second that an engine of a service processes."""
         with self._lock:
             return self._table.solo_read_rate(service)
 
     def tick(self) -> None:
-        """Look again at what waits; upstreams return to trust with time alone."""
+        """Match waiting requests again: upstream health recovers over time."""
         now = self._clock()
         with self._lock:
             items = self._requested.items()
--- a/src/persimmonhitch/direct/engine_client.py
+++ b/src/persimmonhitch/direct/engine_client.py
@@ -1,4 +1,4 @@
-"""Orders to engines and their reports, over HTTP."""
+"""HTTP client for load and unload orders to engines and for engine reports."""
 
 import json
 from dataclasses import dataclass
@@ -16,25 +16,25 @@
 from .upstream_limits import UpstreamLimits
 
 ORDER_TIMEOUT_S: Final = 0.5
-"""Seconds for an answer to an order; engines answer in milliseconds, and one that was
-lost is found out by the next order's precondition."""
+"""Engines answer orders in milliseconds; the precondition of the next order detects
+an order whose answer was lost."""
 
 
 class OrderOutcome(Enum):
-    """What an engine made of an order."""
+    """Result of an order at an engine."""
 
     ACCEPTED = "accepted"
     ALREADY_DONE = "holds"
-    """What the order asks for is so already."""
+    """The engine is already in the ordered state."""
     CONFLICT = "conflict"
-    """Another order is under way, or others came before this one."""
+    """Another order is in progress, or the order count has changed."""
     FENCED = "fenced"
     GONE = "gone"
-    """Another instance has the address."""
+    """Another upstream instance answers at the address."""
     LIMITED = "limited"
-    """Not sent, since the engine takes no more requests now."""
+    """Not sent, since the request limit of the engine is reached."""
     UNKNOWN = "unknown"
-    """No answer: it may be carried out, now or seconds later."""
+    """No answer: the order may still be executed, now or seconds later."""
 
 
 OUTCOME_BY_STATUS: Final = {
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """One order to one engine."""
+    """A load or unload command for a model or adapter."""
 
     load: bool
     model: Model
@@ -56,7 +56,7 @@
 
 
 class EngineClient:
-    """Calls engines for the holder of the orders lease."""
+    """Calls engines on behalf of the leader."""
 
     def __init__(self, vm: Vm, limits: UpstreamLimits) -> None:
         self._vm = vm
@@ -68,7 +68,7 @@
     def send_order(
         self, record: UpstreamRecord, order: Order, order_count: int, epoch: Epoch
     ) -> OrderOutcome:
-        """Send an order that counts only after ``orders`` others."""
+        """Send an order, valid only if the engine accepted ``order_count`` before."""
         if not self._limits.allows_order(record):
             return OrderOutcome.LIMITED
         body = encode_order(
@@ -86,9 +86,9 @@
         return OUTCOME_BY_STATUS.get(answer.status, OrderOutcome.UNKNOWN)
 
     def get_report(self, record: UpstreamRecord) -> Result[Holding, str]:
-        """Return what an engine says that it holds, some hundred ms ago."""
+        """Return an engine's inventory, some hundred ms old, or an error text."""
         if not self._limits.allows_report(record):
-            return Err("it limits its requests")
+            return Err("request limit reached")
         url = f"http://{record.host}:{record.port}{names.REPORT_PATH}"
         try:
             answer = self._http.request(
--- a/src/persimmonhitch/direct/events.py
+++ b/src/persimmonhitch/direct/events.py
@@ -1,4 +1,4 @@
-"""Splits an event stream into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 import re
 from collections.abc import Iterator
@@ -8,32 +8,32 @@
 EVENT_END: Final = re.compile(rb"\r?\n\r?\n")
 ID_LINE: Final = re.compile(rb"^id:[ ]?(.*?)\r?$", re.M)
 MAX_EVENT_BYTES: Final = 1024 * 1024
-"""Bytes of one event; an upstream that sends no end would fill the memory."""
+"""Maximum size of an event; an unterminated one would exhaust the memory."""
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event and its id, where it has one."""
+    """A complete event and its id, if any."""
 
     data: bytes
     id: str | None
 
 
 class EventSplitter:
-    """Collects parts of a stream and returns its whole events.
+    """Buffers chunks of a stream and yields complete events.
 
-    An upstream that crashes cuts its stream in the middle of an event. A caller that
-    got the first half would take it, joined with the next run's first event, for one.
+    A crashing upstream truncates its stream within an event. A caller that received the
+    first half would parse it and the first event of the resumed stream as one event.
     """
 
     def __init__(self) -> None:
         self._tail = b""
 
     def feed(self, chunk: bytes) -> Iterator[StreamEvent]:
-        """Yield the events that end in this part."""
+        """Yield the events that end in this chunk."""
         self._tail += chunk
         if len(self._tail) > MAX_EVENT_BYTES:
-            raise ValueError("an event too long")
+            raise ValueError("event exceeds the size limit")
         while (match := EVENT_END.search(self._tail)) is not None:
             data, self._tail = self._tail[: match.end()], self._tail[match.end() :]
             ids = ID_LINE.findall(data)
@@ -41,5 +41,5 @@
 
     @property
     def tail(self) -> bytes:
-        """Return what has come of an event that has not ended."""
+        """Return the bytes received of an incomplete event."""
         return self._tail
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one upstream, and its answer."""
+"""HTTP exchange of one attempt: a request to one upstream and its answer."""
 
 import contextlib
 import socket
@@ -22,20 +22,22 @@
 
 READ_SIZE_BYTES: Final = 65536
 MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
-"""Bytes of an answer that is passed on whole; no plain service sends as much."""
+"""Maximum size of an answer; answers of plain services are smaller."""
 RETRY_AFTER_S: Final = 0.3
-"""Seconds after which another try may find a place: the time of a short answer."""
+"""Retry time for callers: within the time of a short answer a slot becomes free."""
 MAX_IDLE_UNREPEATABLE_S: Final = 1.0
-"""Seconds that a connection may have been idle for a call that must not be repeated.
-Upstreams close idle connections after several; a call that meets the close is lost."""
+"""Maximum idle time of a connection used for a request that must not be repeated.
+
+Upstreams close idle connections after several seconds; a request sent during the close
+is lost."""
 
 EXCHANGE_ERRORS = (HTTPError, HTTPException, OSError, ValueError)
-"""What an upstream that is lost, or says what is no answer, shows as."""
+"""Errors raised for a lost upstream or a malformed answer."""
 
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """A request as it is sent."""
+    """A request as sent to an upstream."""
 
     request_id: RequestId
     method: str
@@ -47,7 +49,7 @@
 
 @dataclass
 class Reply:
-    """An answer whose head has come; its body is still to be read."""
+    """An answer whose head was received and whose body is yet to be read."""
 
     status: int
     headers: dict[str, str]
@@ -59,11 +61,11 @@
     _complete: bool = field(default=False)
 
     def read_all(self) -> bytes:
-        """Return the whole body; raises one of ``Broken`` if it is cut short."""
+        """Return the whole body; raise one of ``EXCHANGE_ERRORS`` if truncated."""
         return b"".join(self.chunks())
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body as it comes; raises one of ``Broken`` if it is cut short."""
+        """Yield the body in chunks; raise one of ``EXCHANGE_ERRORS`` if truncated."""
         received = 0
         while True:
             chunk = self._response.read1(READ_SIZE_BYTES)
@@ -71,10 +73,10 @@
                 break
             received += len(chunk)
             if received > MAX_ANSWER_BYTES:
-                raise ValueError("an answer too long")
+                raise ValueError("answer exceeds the size limit")
             yield chunk
         if self._content_length is not None and received < self._content_length:
-            raise OSError(f"{received} bytes of {self._content_length}")
+            raise OSError(f"received {received} of {self._content_length} bytes")
         self._complete = True
         if self.headers.get("connection", "").lower() == "close" or self._unframed():
             self._conn.close()
@@ -86,7 +88,7 @@
         return self._content_length is None and not chunked
 
     def close(self) -> None:
-        """End the connection unless its answer has been read to its end."""
+        """Close the connection unless the answer was read completely."""
         if not self._complete:
             _shut_down(self._conn)
             self._conn.close()
@@ -95,13 +97,13 @@
 def _shut_down(conn: HTTPConnection) -> None:
     sock = conn.sock
     if sock is not None:
-        # A close alone would not wake the thread that waits in a read.
+        # close() alone would not wake a thread blocked in a read.
         with contextlib.suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
 
 
 class Exchange:
-    """Sends requests to upstreams."""
+    """Sends requests to upstreams over pooled connections."""
 
     def __init__(
         self,
@@ -120,7 +122,7 @@
     ) -> Result[Reply, Failure]:
         """Send a request and wait for the head of its answer.
 
-        A failure with the verdict ``NOT_RUN`` means that nothing was sent.
+        A failure with verdict ``NOT_RUN`` means that the request was not sent.
         """
         max_idle_s = float("inf") if outgoing.repeatable else MAX_IDLE_UNREPEATABLE_S
         conn = self._pool.acquire(address, max_idle_s)
@@ -145,8 +147,8 @@
         outgoing: OutgoingRequest,
         timeout_s: float,
     ) -> Result[Reply, Failure]:
-        # On the connection, since a request sets its socket's timeout from here. A
-        # little longer than the time left: the watchdog ends the request at its time.
+        # http.client sets the socket timeout from the connection. The margin lets the
+        # watchdog abort the request at its deadline first.
         conn.timeout = timeout_s + 1.0
         headers = {"accept-encoding": SKIP_HEADER, "user-agent": SKIP_HEADER}
         conn.request(
@@ -161,7 +163,7 @@
         headers = {k.lower(): v for k, v in response.headers.items()}
         marks = self._read_marks(response.status, headers)
         if marks.request is not None and marks.request != outgoing.request_id:
-            # A late answer to another request; ours may still be running.
+            # A late answer to another request; this request may still be running.
             raise ValueError("the answer belongs to another request")
         length = headers.get("content-length", "")
         return Success(
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from its head to the end of its answer."""
+"""Handles a caller's request from admission to the end of its answer."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -30,11 +30,11 @@
     ErrorCode.DEADLINE, "the caller left", Verdict.MAY_HAVE_RUN
 )
 CALLER_LEFT_STATUS: Final = 499
-"""Status in logs and metrics of a request whose caller did not wait for its answer."""
+"""Status in logs and metrics of a request whose caller closed the connection early."""
 
 
 def refuse(exc: Failure, request_id: RequestId) -> Answer:
-    """Return the answer for a failure of ours; it may ask for parts of a second."""
+    """Return the answer for a failure; ``Retry-After`` may be a fractional number."""
     headers = {}
     if exc.retry_after is not None:
         headers["Retry_After"] = f"{exc.retry_after:.2f}"
@@ -42,7 +42,7 @@
 
 
 class Gateway:
-    """Answers calls by calling upstreams directly."""
+    """Answers requests by forwarding them to upstreams."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         )
 
     def handle(self, req: Request) -> Answer:
-        """Answer one call."""
+        """Answer one request."""
         caller = wire.read_caller(req.headers)
         active = self._active_config()
         result = admit(req, caller, active, self._clock)
@@ -88,9 +88,9 @@
         try:
             return self._serve(request)
         except Exception as exc:
-            # Without this its place at an upstream would be taken for good.
+            # Settling the request releases its slot, which would leak otherwise.
             reason = f"the entry failed ({type(exc).__name__})"
-            log("request_broke", request=request.request_id, error=repr(exc))
+            log("request_error", request=request.request_id, error=repr(exc))
             failure = Failure(ErrorCode.INTERNAL, reason, Verdict.MAY_HAVE_RUN)
             return self._fail(request, failure)
 
@@ -109,7 +109,7 @@
         return refuse(exc, request_id)
 
     def _charge(self, admitted: Admitted) -> Failure | None:
-        """Charge a request to its account, or return why it can't be."""
+        """Charge a request to its account, or return the rate limit refusal."""
         if admitted.account is None:
             return None
         wait = self._quota.take(admitted.account.name, admitted.cost)
@@ -153,7 +153,7 @@
         return refuse(failure, request.request_id)
 
     def stream_events(self, request: InFlightRequest) -> Iterator[bytes]:
-        """Yield the events of a stream, resumed where its route allows it."""
+        """Yield the events of a stream; resume a lost stream if its route allows it."""
         last_event_id: str | None = None
         while True:
             reply = request.reply
@@ -188,18 +188,18 @@
         raise StreamInterrupted(failure.message)
 
     def stream_closed(self, request: InFlightRequest) -> None:
-        """Take the end of a stream, whoever ended it."""
+        """Settle a stream closed by the server, unless it has been settled already."""
         if request.reply is not None:
             request.reply.close()
         self._tracker.settle(request, CALLER_LEFT, CALLER_LEFT_STATUS)
 
 
 class StreamInterrupted(Exception):
-    """A stream ends before its last event; the server breaks the connection off."""
+    """Raised for a stream without its last event; the server drops the connection."""
 
 
 class _StreamBody:
-    """Body of a streamed answer; the server calls ``close`` in every case."""
+    """Body of a streamed answer; the server always calls ``close``."""
 
     def __init__(self, gateway: Gateway, request: InFlightRequest) -> None:
         self._gateway = gateway
@@ -210,7 +210,7 @@
         return self._events
 
     def close(self) -> None:
-        """End the stream, if it has not ended by itself."""
+        """Close the stream if it is still open."""
         self._events.close()  # type: ignore[attr-defined]
         self._gateway.stream_closed(self._request)
 
--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -1,4 +1,4 @@
-"""A request under way, and how its end is noted."""
+"""State of a request in progress, and its final accounting."""
 
 import time
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 @dataclass
 class InFlightRequest:
-    """A request under way, and what its end has to settle."""
+    """A request in progress, with the data that its final accounting needs."""
 
     admitted: Admitted
     abort: Abort
@@ -28,37 +28,38 @@
     excluded: frozenset[Upstream] = frozenset()
     settled: bool = False
     sent_at: float = 0.0
-    """When its newest attempt was sent, and when the head of its answer came."""
+    """Time at which the newest attempt was sent; ``head_at`` is the arrival time of
+    the head of its answer."""
     head_at: float | None = None
     reply: Reply | None = None
-    """The answer that is being passed on."""
+    """The answer being forwarded to the caller."""
     waited_s: float = 0.0
-    """Seconds for which its attempts waited for a place."""
+    """Total time that attempts waited for a slot."""
     first_event_s: float | None = None
-    """Seconds from its arrival to the first event of its stream."""
+    """Time from arrival to the first event of the stream."""
     last_event_at: float = 0.0
     longest_gap: float = 0.0
-    """Seconds of the longest pause between two events."""
+    """Longest time between two events, in seconds."""
 
     @property
     def request_id(self) -> RequestId:
-        """Return the id that the caller gave it."""
+        """Return the request id set by the caller."""
         return self.admitted.caller.request
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return what it has in common with its repeats under other ids."""
+        """Return the fingerprint shared by repeats of the request under other ids."""
         return self.admitted.request.call
 
     def release(self) -> None:
-        """Give its place at an upstream back, if it has one."""
+        """Release the slot at an upstream, if there is one."""
         permit, self.permit = self.permit, None
         if permit is not None:
             permit.release()
 
 
 class RequestTracker:
-    """Settles requests: their tokens, their place, metrics and the line that tells."""
+    """Tracks requests; at their end settles tokens, slot, metrics and log entry."""
 
     def __init__(
         self,
@@ -76,12 +77,12 @@
         self._completion_log = Sampled("request_done")
 
     def start(self, request: InFlightRequest) -> None:
-        """Note a request that is to be served."""
+        """Start tracking a request."""
         self._metrics.request_started(request.route_name)
         self._watchdog.add(request.abort)
 
     def _record_first_event(self, request: InFlightRequest) -> None:
-        """Note the first event of a stream."""
+        """Record the first event of a stream."""
         if request.permit is not None:
             request.permit.record_first_token()
         account = request.admitted.account
@@ -91,7 +92,7 @@
             self._metrics.first_token(account.name, seconds)
 
     def record_event(self, request: InFlightRequest) -> None:
-        """Note one event of a stream."""
+        """Record an event of a stream."""
         now = self._clock()
         if request.first_event_s is None:
             self._record_first_event(request)
@@ -102,7 +103,7 @@
     def settle(
         self, request: InFlightRequest, failure: Failure | None, status: int
     ) -> None:
-        """Note the end of a request, once."""
+        """Settle a request; further calls have no effect."""
         if request.settled:
             return
         request.settled = True
@@ -156,5 +157,5 @@
             verdict=failure.verdict.value if failure else Verdict.RAN.value,
             code=failure.code.value if failure else "-",
             ended=reason.value if reason else "-",
-            reason=failure.message if failure else "the upstream's own answer",
+            reason=failure.message if failure else "error answer of the upstream",
         )
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -1,4 +1,4 @@
-"""What this entry knows of each upstream: its record, its work and its failures."""
+"""State of each upstream at this entry: its record, its work and its failures."""
 
 import time
 from collections import defaultdict
@@ -18,49 +18,49 @@
 from .work import Work
 
 MISSING_TTL_S: Final = 1.0
-"""Seconds for which an engine's word that it lacks something stands against older
-news that say it has it."""
+"""Time for which an engine's answer that it lacks a model or adapter overrides
+inventories that list it."""
 REPORTED_TTL_S: Final = 2.5
-"""Seconds for which the word of the lease's holder goes before an engine's own entry,
-which is a heartbeat and a lag behind; it is told anew each second."""
+"""Time for which an inventory from the leader overrides the engine's store record.
+
+The record lags by a heartbeat and a store update; the leader resends each second."""
 BUSY_MARGIN_S: Final = 0.3
-"""Seconds beyond a load's expected end at which orders are tried again; the holder of
-the lease tells its end at once."""
+"""Time after the expected end of a load before the engine counts as free; the leader
+reports the actual end at once."""
 RISE_WEIGHT: Final = 0.2
 FALL_WEIGHT: Final = 0.05
-"""Weights of a sample above and below what is taken for an engine's speed: samples are
-low where prompts were read between that nobody had told of, and not high."""
+"""Weights of a sample above and below the estimated rate: unreported prompts of other
+entries lower a sample, but nothing raises it."""
 MIN_SOLO_SAMPLE_TOKENS: Final = 2000
-"""Prompt tokens below which the time to a first token is mostly that of other things
-than reading."""
+"""Prompts with fewer tokens spend most of the time to first token outside prefill."""
 READ_RATE_WEIGHT: Final = 0.2
-"""Weight of the newest sample in an engine's rate of reading."""
+"""Weight of the newest sample in ``UpstreamState.read_rate``."""
 MIN_SAMPLE_TOKENS: Final = 200
-"""Prompt tokens below which the time to a first token says little of that rate."""
+"""With fewer prompt tokens, the time to first token is no measure of the rate."""
 
 
 @dataclass
 class UpstreamState:
-    """One upstream with what was learned of it."""
+    """Record of one upstream with the state observed or reported since."""
 
     record: UpstreamRecord
     reported: Holding | None = None
-    """What the holder of the lease says that it holds, at ``told_at``."""
+    """Newest inventory from the leader, received at ``reported_at``."""
     reported_at: float = 0.0
     reported_version: tuple[int, int] = (0, 0)
     busy_until: float = 0.0
-    """Until when it loads a model and takes no other order."""
+    """Expected end of a model load, during which the engine takes no other order."""
     health: Trust = field(default_factory=Trust)
     last_activity_at: float = 0.0
-    """When it last said anything to a call of this entry."""
+    """Time of the last output received by a request of this entry."""
     read_rate: float = READ_RATE
     solo_read_rate: float | None = None
-    """Prompt tokens a second that it reads while it reads all the time."""
+    """Prompt tokens per second while the engine processes a single prompt."""
     missing_at: dict[tuple[Model, Adapter | None], float] = field(default_factory=dict)
     load: Load | None = None
 
     def add_solo_sample(self, sample: float) -> None:
-        """Take one sample of its speed of reading."""
+        """Add a sample to the weighted average of the single-prompt rate."""
         if self.solo_read_rate is None:
             self.solo_read_rate = sample
             return
@@ -68,7 +68,7 @@
         self.solo_read_rate += weight * (sample - self.solo_read_rate)
 
     def has(self, model: Model, adapter: Adapter | None, now: float) -> bool:
-        """Return whether a call for a model and adapter can run there now."""
+        """Return whether the upstream can run a model with an adapter now."""
         inventory = self._inventory(now)
         if inventory is None or not inventory.has(model, adapter):
             return False
@@ -82,7 +82,7 @@
 
 
 class UpstreamTable:
-    """All upstreams; not safe by itself, its owner holds the lock."""
+    """All upstreams of this entry; not thread-safe, the owner holds a lock."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -93,11 +93,11 @@
         self._peer_work = PeerWork()
 
     def configure(self, cfg: FleetConfig) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         self._cfg = cfg
 
     def update(self, records: Iterable[UpstreamRecord]) -> None:
-        """Take the list of upstreams; what was learned of those that stay is kept."""
+        """Apply a list of upstreams; keep the state of upstreams listed before."""
         states: dict[Upstream, UpstreamState] = {}
         for record in records:
             old = self._states.get(record.name)
@@ -108,7 +108,7 @@
                 states[record.name] = UpstreamState(record)
                 continue
             if record.born != old.record.born:
-                # It started anew under its name and holds nothing of before.
+                # A restart under the same name empties the engine.
                 old = UpstreamState(record)
             old.record = record
             states[record.name] = old
@@ -122,7 +122,7 @@
                 self._by_service[state.record.service].append(state)
 
     def receive_inventory(self, msg: HoldingNews) -> None:
-        """Take what the holder of the lease says that an engine holds."""
+        """Apply an inventory sent by the leader, unless it is outdated."""
         state = self._states.get(msg.upstream)
         if state is None or state.record.born != msg.born:
             return
@@ -142,55 +142,57 @@
         )
 
     def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
-        """Take what a peer has at each upstream."""
+        """Apply the work of a peer at each upstream."""
         self._peer_work.hear(vm, msg, self._clock())
 
     def expire_peers(self) -> None:
-        """Forget the work of peers that have gone silent."""
+        """Drop the work of unresponsive peers."""
         self._peer_work.expire(self._clock())
 
     def record_missing(self, upstream: Upstream, request: Need) -> None:
-        """Note that an engine said that it lacks a model or adapter."""
+        """Record that an engine answered that it lacks a model or adapter."""
         state = self._states.get(upstream)
         if state is not None and request.model is not None:
             state.missing_at[request.model, request.adapter] = self._clock()
 
     def get(self, upstream: Upstream) -> UpstreamState | None:
-        """Return what is known of one upstream."""
+        """Return the state of an upstream, or None if it is not listed."""
         return self._states.get(upstream)
 
     def can_serve(self, record: UpstreamRecord, request: Need) -> bool:
-        """Return whether an upstream can run a call once it has a place."""
+        """Return whether an upstream can run a request once it has a free slot."""
         state = self._states.get(record.name)
         if state is None or record.service != request.service:
             return False
         return request.model is None or state.has(request.model, None, self._clock())
 
     def upstreams_of(self, service: Service) -> list[UpstreamState]:
-        """Return the upstreams of a service that are not leaving."""
+        """Return the upstreams of a service, except those draining."""
         return self._by_service[service]
 
     def record_start(self, upstream: Upstream, request: Need) -> None:
-        """Count a call that is sent."""
+        """Count a request sent to an upstream."""
         self._own_work[upstream].start(request, self._clock())
 
     def record_first_token(
         self, upstream: Upstream, request: Need, seconds: float, unread: int
     ) -> None:
-        """Count a call whose first token came, ``seconds`` after it was sent.
+        """Count a first token received ``seconds`` after its request was sent.
 
-        ``before`` is the number of prompt tokens that were to be read by then.
+        ``unread`` counts the prompt tokens pending at that upstream when the request
+        was sent, its own included.
         """
         self._own_work[upstream].unread -= request.prompt
         state = self._states.get(upstream)
         if state is not None and unread >= MIN_SAMPLE_TOKENS and seconds > 0:
             state.read_rate += READ_RATE_WEIGHT * (unread / seconds - state.read_rate)
-            # Alone: of what others sent some was read by then, and was told as unread.
+            # Prompts of other requests distort a sample: tokens reported as pending may
+            # have been processed already.
             if unread == request.prompt >= MIN_SOLO_SAMPLE_TOKENS:
                 state.add_solo_sample(unread / seconds)
 
     def solo_read_rate(self, service: Service) -> float:
-        """Return the prompt tokens a second that an engine of a service reads."""
+        """Return the median prompt tokens per second of the engines of a service."""
         rates = [
             state.solo_read_rate
             for state in self._by_service[service]
@@ -201,15 +203,15 @@
     def record_finish(
         self, upstream: Upstream, request: Need, prompt_read: bool
     ) -> None:
-        """Count a call that has ended."""
+        """Count the end of a request at an upstream."""
         self._own_work[upstream].finish(request, prompt_read)
 
     def unread_tokens(self, upstream: Upstream) -> int:
-        """Return the prompt tokens that an upstream has yet to read, of all entries."""
+        """Return the prompt tokens pending at an upstream, sent by all entries."""
         return self._own_work[upstream].unread + self._peer_work.at(upstream).unread
 
     def views(self, request: Need, excluded: frozenset[Upstream]) -> list[Lane]:
-        """Return the upstreams that a call may go to."""
+        """Return views of the upstreams that a request may be sent to."""
         spec = self._cfg.services.get(request.service) if self._cfg else None
         kv_tokens = spec.engine.kv_tokens if spec and spec.engine else 0
         now = self._clock()
@@ -229,9 +231,9 @@
         return views
 
     def _restore_last_capable(self, views: list[Lane], capable: set[Upstream]) -> None:
-        """Let failing upstreams work that are all there are for a call.
+        """Restore the full share of failing upstreams if no healthy one is capable.
 
-        An answer in two is more than none: their callers would be refused at once.
+        Some answers are better than none: all callers would be refused otherwise.
         """
         candidates = [view for view in views if view.upstream in capable]
         if any(view.trust >= 1.0 for view in candidates):
@@ -272,7 +274,7 @@
         )
 
     def own_work(self) -> tuple[Running, ...]:
-        """Return this entry's work at each upstream, for its peers."""
+        """Return the work of this entry at each upstream, as sent to peers."""
         return tuple(
             work.running(name) for name, work in self._own_work.items() if work.requests
         )
