--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -1,4 +1,4 @@
-"""Orders to one engine: what it holds, and what is asked of it, one step at a time."""
+"""Load and unload orders to one engine, and its inventory."""
 
 import threading
 import time
@@ -16,52 +16,54 @@
 from .engine_client import EngineClient, Order, OrderOutcome
 
 ADAPTER_LOAD_S: Final = 0.02
-"""Seconds from an order to an adapter that serves; a load takes 5 to 14 ms while few
-are under way."""
+"""Seconds from an order until the adapter is ready; a load takes 5 to 14 ms while few
+others are in progress."""
 MAX_CONCURRENT_ADAPTER_LOADS: Final = 4
-"""Adapters that an engine loads at the same time, by its interface."""
+"""Adapters that an engine loads concurrently, as its interface specifies."""
 REPORT_LAG_S: Final = 0.15
-"""Seconds by which reports lag; one that is asked for sooner shows the state before."""
+"""Seconds by which reports lag; an earlier report shows the state before an order."""
 POLL_INTERVAL_S: Final = 0.1
-"""Seconds between two looks at a load that is overdue."""
+"""Seconds between two report requests for a load that is overdue."""
 ORDER_TIMEOUT_S: Final = 12.0
-"""Seconds after which a load that does not show counts as lost; an order that got no
-answer may be carried out this late."""
+"""Seconds after which an order that no report confirms counts as lost; an unanswered
+order may be executed this late."""
 UNKNOWN_STATE_BUSY_S: Final = 1.0
-"""Seconds that an engine counts as busy whose state is still to be learned."""
+"""Seconds for which an engine with an unknown inventory counts as busy."""
 REPORT_POLL_S: Final = 0.3
-"""Seconds between two asks for a state; an engine that has crashed answers none."""
+"""Minimum seconds between two report requests while the inventory is unknown; a crashed
+engine does not answer."""
 REPLACED_PAUSE_S: Final = 1.0
-"""Seconds without orders to an address at which another instance answers."""
+"""Seconds without orders after another instance answered at the engine's address."""
 MAX_ATTEMPTS: Final = 3
-"""Tries of one order; each further one has first read the engine's state anew."""
+"""Attempts per order; the engine's report is read before each retry."""
 CONFLICT_RETRY_S: Final = 0.05
-"""Seconds between two tries of a load whose place is about to be free."""
+"""Seconds between two attempts of a load that waits for an unload to complete."""
 MAX_CONFLICT_ATTEMPTS: Final = 5
 LOAD_MARGIN_S: Final = 0.03
-"""Seconds beyond its time after which a load from near counts as done; the report that
-shows it comes some hundred ms later, and callers wait for it."""
+"""Seconds added to the expected time of a load from memory or disk, after which it
+counts as complete. The report confirms it some hundred ms later, and requests would
+wait for that."""
 ADAPTER_WINDOW_S: Final = 0.5
-"""Seconds after the load of a model in which its engine begins no other one. It takes
-no order for an adapter during a load, and where loads follow each other at once, calls
-for adapters that it lacks are refused through all of them."""
+"""Seconds after a model load in which the engine starts no other one. An engine accepts
+no adapter orders during a model load, so consecutive loads would have all requests for
+its missing adapters refused throughout."""
 UNLOAD_DELAY_S: Final = 0.03
-"""Seconds between the news that a model leaves and the order: calls that are on their
-way to it would be refused there."""
+"""Seconds between the publication of an eviction and the unload order; requests already
+sent to that model would be refused."""
 
 Clock = Callable[[], float]
 
 
 @dataclass
 class EngineState:
-    """One engine as the holder of the lease knows it."""
+    """State of one engine as known to the leader."""
 
     record: UpstreamRecord
     spec: EngineSpec
     inventory: Holding | None = None
     adapter_used_at: dict[tuple[Model, Adapter], float] = field(default_factory=dict)
     unloading: set[tuple[Model, Adapter]] = field(default_factory=set)
-    """Adapters whose unload was ordered; they keep their places until it is done."""
+    """Adapters with an unload order in progress; they occupy their slots until then."""
     loaded_at: dict[Model, float] = field(default_factory=dict)
     loading: Model | None = None
     ready_at: float = 0.0
@@ -69,7 +71,7 @@
     evicting: frozenset[Model] = frozenset()
 
     def memory_used(self) -> float:
-        """Return the MB that models and adapters take, those on their way included."""
+        """Return the MB used by models, including one being loaded, and adapters."""
         if self.inventory is None:
             return self.spec.memory
         resident = set(self.inventory.models)
@@ -79,7 +81,7 @@
         return used + self.adapters_memory()
 
     def adapters_memory(self) -> float:
-        """Return the MB that adapters take or may take."""
+        """Return the MB to reserve for adapters: all slots at the largest size."""
         if self.inventory is None:
             return 0.0
         largest = max(
@@ -89,16 +91,16 @@
 
     def _model_spec(self, name: Model) -> ModelSpec:
         spec = self.spec.models.get(name)
-        # A model that the configuration no longer names still takes memory.
+        # A model that was removed from the configuration still uses memory.
         return spec or ModelSpec(name, self.spec.memory, 0, 0, 0, 0, 0)
 
 
 class EngineController:
-    """Sends orders to one engine, one after the other, each on its precondition.
+    """Sends orders to one engine, one at a time, each with a precondition.
 
-    Every order names the number of orders that it comes after. An engine that has
-    taken another one meanwhile, or an earlier one late, refuses it, so nothing is ever
-    loaded into memory that something else took.
+    Every order carries the number of orders that the engine must have executed before
+    it. If another order came in between, or an earlier one arrived late, the engine
+    refuses the new order. So nothing is loaded into memory that is already in use.
     """
 
     def __init__(
@@ -120,14 +122,14 @@
         self._clock = clock
         self._sleep = sleep
         self.orders_allowed_at = 0.0
-        """Until then an order of another entry may be too recent."""
+        """No orders before this time: one of another entry may be too recent."""
         self.loads_allowed_at = 0.0
-        """Until then adapters go before another load."""
+        """No model loads before this time, so that adapters can be loaded."""
         self.last_order_at: float | None = None
         self.polled_at: float | None = None
 
     def busy_for(self) -> float:
-        """Return the seconds until the engine can take an order for a model."""
+        """Return the seconds until the engine can accept an order for a model."""
         now = self._clock()
         engine = self.engine
         if engine.loading is not None:
@@ -137,14 +139,14 @@
         return max(0.0, self.orders_allowed_at - now, self.loads_allowed_at - now)
 
     def needs_report(self) -> bool:
-        """Return whether the engine's state is unknown and due to be asked for."""
+        """Return whether the inventory is unknown and a new report is due."""
         inventory = self.engine.inventory
         if self.engine.loading is not None or (inventory and not inventory.busy):
             return False
         return self.polled_at is None or self._clock() - self.polled_at >= REPORT_POLL_S
 
     def refresh(self) -> bool:
-        """Read the engine's own report; return whether it told anything."""
+        """Read the engine's report; return whether it updated the inventory."""
         self.polled_at = self._clock()
         result = self._client.get_report(self.engine.record)
         if not isinstance(result, Success):
@@ -164,7 +166,8 @@
 
     def _set_inventory(self, inventory: Holding) -> None:
         self.engine.inventory = inventory
-        # What is gone, such as with its model, takes no place any more.
+        # An adapter that is no longer loaded, e.g. since its model was unloaded, has
+        # released its slot.
         self.engine.unloading = {p for p in self.engine.unloading if inventory.has(*p)}
 
     def _log_inventory(self, inventory: Holding) -> None:
@@ -182,7 +185,7 @@
     # -- adapters ----------------------------------------------------------------
 
     def load_adapter(self, model: Model, adapter: Adapter) -> bool:
-        """Have an adapter loaded; return whether it serves now."""
+        """Load an adapter; return whether it is ready for requests."""
         with self.lock:
             if self._epoch() is None or self._clock() < self.orders_allowed_at:
                 return False
@@ -193,7 +196,7 @@
                 engine.adapter_used_at[model, adapter] = self._clock()
                 self._publish(self)
                 return True
-        # Outside the lock: an engine loads several adapters at the same time.
+        # Wait without the lock: an engine loads several adapters concurrently.
         self._sleep(ADAPTER_LOAD_S)
         with self.lock:
             self._mark_adapter_loaded(model, adapter)
@@ -211,7 +214,7 @@
             if (model, adapter) in engine.unloading:
                 return False
             if model in engine.evicting or engine.loading is not None:
-                # It takes no order for an adapter while it loads a model.
+                # An engine accepts no adapter orders during a model load.
                 return False
             if inventory.has(model, adapter) or adapter in inventory.incoming.get(
                 model, frozenset()
@@ -252,7 +255,7 @@
         return self._evict_adapter()
 
     def _evict_adapter(self) -> bool:
-        """Unload the adapter that was used least recently and runs nothing."""
+        """Unload the least recently used adapter that is not in use."""
         inventory = self.engine.inventory
         assert inventory is not None
         loaded = [(m, a) for m, names in inventory.models.items() for a in names]
@@ -270,8 +273,8 @@
             self._remove_adapter(model, adapter)
             return True
         if outcome is OrderOutcome.ACCEPTED:
-            # Calls use it that nobody has told of, such as those of an entry that is
-            # cut off. Its place is free once they have ended and not before.
+            # Unreported requests use the adapter, e.g. those of a disconnected entry.
+            # Its slot is released when they have ended.
             return False
         self.engine.unloading.discard((model, adapter))
         return self._resync(outcome)
@@ -285,7 +288,7 @@
         self.engine.unloading.discard((model, adapter))
 
     def _check_unloads(self) -> bool:
-        """Return whether an adapter whose unload waited for its calls has gone."""
+        """Return whether a pending unload has completed since the last report."""
         now = self._clock()
         if self.polled_at is not None and now - self.polled_at < REPORT_LAG_S:
             return False
@@ -312,9 +315,14 @@
         load_s: float,
         drain_s: float = 0.0,
     ) -> None:
-        """Load a model after others have made room for it; returns at its end.
-
-        ``seconds`` is the time of the load, ``drain`` that of the unloads before it.
+        """Evict models, load another one and wait until the load has ended.
+
+        Parameters
+        ----------
+        load_s : float
+            Expected time of the load.
+        drain_s : float
+            Expected time of the evictions; 0 if the evicted models are not in use.
         """
         engine = self.engine
         with self.lock:
@@ -364,7 +372,7 @@
             return
 
     def _send_with_retry(self, order: Order) -> OrderOutcome:
-        """Send an order that the engine refuses until the one before is done."""
+        """Send an order, with retries while the engine executes the previous one."""
         for _ in range(MAX_CONFLICT_ATTEMPTS):
             outcome = self._send(order)
             if outcome is not OrderOutcome.CONFLICT:
@@ -373,7 +381,7 @@
         return outcome
 
     def _mark_model_loaded(self, model: Model) -> None:
-        """Tell that a model serves whose load takes no longer than is known."""
+        """Publish a model as resident when its expected load time has passed."""
         with self.lock:
             inventory = self.engine.inventory
             if inventory is None or model in inventory.models:
@@ -384,7 +392,7 @@
             self._publish(self)
 
     def _unload_model(self, model: Model, in_use: bool) -> bool:
-        """Unload a model; ``runs`` says whether its calls are to be waited for."""
+        """Unload a model; if it is in use, wait until its requests have ended."""
         for _ in range(MAX_ATTEMPTS):
             with self.lock:
                 inventory = self.engine.inventory
@@ -398,8 +406,8 @@
                         continue
                     return False
                 if not in_use:
-                    # It is gone at once, and if a call is left that nobody has told of,
-                    # the engine refuses the next order until it has ended.
+                    # The unload takes effect immediately. If an unreported request
+                    # still uses the model, the engine refuses orders until its end.
                     self._remove_model(model)
                     return True
             return self._wait_for_report(lambda report: model not in report.models, 0.0)
@@ -414,7 +422,7 @@
     def _wait_for_report(
         self, is_done: Callable[[Holding], bool], min_wait_s: float
     ) -> bool:
-        """Wait until the engine's report shows what an order asked for."""
+        """Wait until the engine's report confirms an order."""
         self._sleep(max(min_wait_s, REPORT_LAG_S))
         deadline = self._clock() + ORDER_TIMEOUT_S
         while self._clock() < deadline and self._epoch() is not None:
@@ -432,12 +440,12 @@
     def _apply_report(
         self, report: Holding, is_done: Callable[[Holding], bool]
     ) -> bool | None:
-        """Take a report; return whether the order is done, None if not yet."""
+        """Apply a report; return whether the order is done, None if still pending."""
         with self.lock:
             inventory = self.engine.inventory
             if inventory is None:
                 return False
-            # One that is older than our last order says nothing of it.
+            # A report that predates the last order does not show its effect.
             if report.orders < inventory.orders or report.busy or not is_done(report):
                 return None
             self._set_inventory(report)
@@ -470,9 +478,10 @@
         return outcome
 
     def _resync(self, outcome: OrderOutcome) -> bool:
-        """Learn the engine's state anew; return whether another try may help."""
+        """Reread the engine's report after a failure; return whether to retry."""
         if outcome is OrderOutcome.GONE:
-            # Until its entry is removed; an order a moment later meets the same.
+            # Another instance runs at this address. Pause orders until the store drops
+            # the old record; an immediate retry would fail likewise.
             self.engine.inventory = None
             self.orders_allowed_at = self._clock() + REPLACED_PAUSE_S
         if outcome in (
@@ -487,7 +496,7 @@
 
 
 def usable_models(engine: EngineState) -> Mapping[Model, tuple[Adapter, ...]]:
-    """Return what calls may use at an engine, without what is about to leave."""
+    """Return the models and adapters that requests may use, without evicted ones."""
     if engine.inventory is None:
         return {}
     unloading = engine.unloading
--- a/src/persimmonhitch/direct/handover.py
+++ b/src/persimmonhitch/direct/handover.py
@@ -1,8 +1,8 @@
-"""When a new holder of the lease may order each engine.
+"""Earliest time at which a new leader may send orders to each engine.
 
-Engines take orders from one entry at a time; those of two that come close together may
-undo each other. A new holder therefore leaves an engine alone until ``guard`` seconds
-after the last order that another entry may have sent it.
+Orders of two leaders that reach an engine in quick succession may undo each other. A
+new leader therefore waits until ``guard_s`` seconds after the last order that another
+entry may have sent.
 """
 
 import time
@@ -21,7 +21,7 @@
 
 
 class OrderHistory:
-    """Orders of other entries, as they told them; times are monotonic seconds."""
+    """Last orders that other entries have reported; times are monotonic seconds."""
 
     def __init__(
         self, vm: Vm, guard_s: float, clock: Callable[[], float] = time.monotonic
@@ -34,14 +34,14 @@
         self._released: set[Vm] = set()
 
     def record_orders(self, vm: Vm, upstream: Upstream, order_count: int) -> None:
-        """Take the number of orders that an engine has had from its orderer."""
+        """Record the order count of an engine, as the leader on ``vm`` reports it."""
         self._released.discard(vm)
         last = self._last_orders.get(upstream)
         if last is None or last.order_count != order_count or last.vm != vm:
             self._last_orders[upstream] = _LastOrder(vm, order_count, self._clock())
 
     def record_release(self, vm: Vm, ages: Mapping[Upstream, float]) -> None:
-        """Take the seconds since the last orders of one that gives none any more."""
+        """Record that ``vm`` sends no more orders, and the seconds since its last."""
         now = self._clock()
         self._released.add(vm)
         for upstream, age in ages.items():
@@ -54,17 +54,17 @@
         predecessor: Predecessor | None,
         ended: bool,
     ) -> float:
-        """Return the time from which an engine may be ordered.
+        """Return the time from which orders to an engine are allowed.
 
         Parameters
         ----------
-        began_at : float
-            When the lease was taken.
-        before : Predecessor or None
-            Who held it before; None if nobody ever did.
+        leading_since : float
+            Time at which the lease was acquired.
+        predecessor : Predecessor or None
+            Previous holder of the lease, if any.
         ended : bool
-            Whether the process of ``before`` is known to have ended. Where it is not
-            and did not resign, it may have sent orders until its lease was over.
+            Whether the predecessor's process is known to have ended. If not, and it did
+            not release the lease, it may have sent orders until the lease expired.
         """
         if predecessor is None:
             return leading_since
@@ -79,13 +79,13 @@
         return max(allowed_at, self._complete_since(predecessor))
 
     def _complete_since(self, predecessor: Predecessor) -> float:
-        """Return the time from which this history holds all orders that still count.
+        """Return the time from which this history covers all orders within the guard.
 
-        A process that has just started was told of none of those before, however
-        properly their sender resigned: in a restart of all entries in turn it would
-        order engines moments after the last holder.
+        A newly started process has received no reports of earlier orders, even if their
+        sender released the lease properly. In a rolling restart of all entries it would
+        otherwise send orders right after the previous leader.
         """
         if predecessor.vm == self._vm and predecessor.held_for >= self._guard_s:
-            # For so long, nobody but the last process on this VM gave orders.
+            # Only the previous process on this VM sent orders within the guard time.
             return self._started_at
         return self._started_at + self._guard_s
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -1,7 +1,8 @@
-"""The holder of the orders lease: has models and adapters loaded where they are asked.
+"""The leader: decides which models and adapters each engine loads.
 
-One entry at a time gives orders, under a lease in the store. All entries tell it what
-is asked of them and what runs; it tells them what each engine holds.
+One entry at a time sends load orders, under a lease in the store. All entries report
+their demand and their requests in progress to it; it publishes the inventory of each
+engine.
 """
 
 import itertools
@@ -39,32 +40,33 @@
 LastOrderTimes = Callable[[], Mapping[Upstream, float]]
 
 ROUND_INTERVAL_S: Final = 0.1
-"""Seconds between two looks at what should be loaded."""
+"""Seconds between two placement rounds without a load request."""
 MIN_ROUND_INTERVAL_S: Final = 0.05
-"""Seconds between two looks at the word of callers; many models may be missing at once,
-and every entry tells of each."""
+"""Minimum seconds between two rounds, since every entry sends a load request for each
+missing model."""
 MAX_WORKERS: Final = 24
-"""Orders for adapters and questions to engines under way at a time."""
+"""Concurrent adapter orders and report requests to engines."""
 INVENTORY_TIMEOUT_S: Final = 2.0
-"""Seconds at most in which a new holder learns what engines hold before it has models
-loaded; one that does not answer its report in that time may answer none."""
+"""Seconds that a new leader waits for the inventories of all engines before it loads
+models. An engine that has not reported by then may never report."""
 PUBLISH_INTERVAL_S: Final = 0.5
-"""Seconds after which holdings are told again, for entries that have started since."""
+"""Seconds between two broadcasts of all inventories, for newly started entries."""
 
 
 class Leader:
-    """Gives orders while this entry holds the lease.
+    """Places models on engines and orders loads while this entry holds the lease.
 
     Parameters
     ----------
-    holder : callable
-        Makes the holder of the lease, given when each engine was last ordered.
-    tell : callable
-        Takes what an engine holds, for this entry and all others.
+    make_election : callable
+        Builds the leader election from a function that returns the time of the last
+        order to each engine.
+    broadcast : callable
+        Sends an engine's inventory to this entry and all others.
     read_rate : callable
-        Returns the prompt tokens a second that an engine of a service reads.
-    answer : callable
-        Tells one entry at once what an engine holds that it has asked about.
+        Returns the prompt tokens per second that an engine of a service processes.
+    send : callable
+        Sends an engine's inventory to the entry that requested an adapter load.
     """
 
     def __init__(
@@ -92,14 +94,14 @@
         self._requested_at: dict[Model, float] = {}
         self._load_rate = LoadRate()
         self._peer_work = PeerWork()
-        """What all entries run, this one too."""
+        """Requests in progress at all entries, including this one."""
         self._drain_time = DrainTime()
         self._active = False
         self._refreshing: set[Upstream] = set()
         self._home_models: dict[Upstream, frozenset[Model]] = {}
         self._staged: set[Upstream] = set()
-        """Engines that have loaded a far model while idle; once is enough for each,
-        since callers may come at any moment."""
+        """Engines that have loaded an uncached model while idle. Each engine does so
+        at most once, since a request may arrive during the load."""
         self._missing: defaultdict[Service, MissingModels] = defaultdict(MissingModels)
         self._published_at = 0.0
         self._published_epoch = Epoch(0)
@@ -107,17 +109,17 @@
         self._lock = threading.Lock()
         self._stopping = threading.Event()
         self._round_due = threading.Event()
-        """Set when calls wait for a model that no engine has."""
+        """Set when requests wait for a model that no engine has loaded."""
         self._pool = ThreadPoolExecutor(MAX_WORKERS, thread_name_prefix="orders")
         self._thread = threading.Thread(target=self._run, name="leader", daemon=True)
 
     def start(self) -> None:
-        """Seek the lease and give orders while it is held."""
+        """Compete for the lease and order loads while holding it."""
         self.election.start()
         self._thread.start()
 
     def stop(self) -> None:
-        """Give no more orders and let the next entry have the lease."""
+        """Stop sending orders and release the lease."""
         self._stopping.set()
         self._round_due.set()
         self.election.stop()
@@ -131,10 +133,10 @@
             if controller.last_order_at is not None
         }
 
-    # -- what it is told -----------------------------------------------------------
+    # -- inputs --------------------------------------------------------------------
 
     def configure(self, cfg: FleetConfig) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         with self._lock:
             self._cfg = cfg
             for controller in self._controllers.values():
@@ -147,19 +149,22 @@
         return service_spec.engine if service_spec else None
 
     def update_upstreams(self, records: Iterable[UpstreamRecord]) -> None:
-        """Take the list of upstreams."""
+        """Replace the list of upstreams."""
         with self._lock:
             self._records = {record.name: record for record in records}
 
     def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
-        """Take what an entry runs and what is asked of it."""
+        """Record the requests in progress and the demand of an entry."""
         now = self._clock()
         with self._lock:
             self._peer_work.hear(vm, msg, now)
             self._demand.hear(vm, msg.asked, now)
 
     def receive_load_request(self, vm: Vm, msg: Want) -> None:
-        """Take what an entry is missing."""
+        """Load a model or an adapter that an entry has requests for.
+
+        A missing model triggers a placement round; an adapter is loaded right away.
+        """
         if not self._is_active():
             return
         if msg.upstream is None or msg.adapter is None:
@@ -202,7 +207,7 @@
             log("order_step_failed", error=repr(exc))
 
     def run_round(self) -> None:
-        """Look once at what should be loaded."""
+        """Run one placement round: order the loads that the current demand needs."""
         with self._lock:
             self._peer_work.expire(self._clock())
             self._demand_rates = self._demand.rates(self._clock())
@@ -252,8 +257,8 @@
                     )
                 else:
                     controller.engine.record = record
-            # An order of the last holder may be under way: what it loads takes memory
-            # that no report shows before its end.
+            # A load that the previous leader ordered may be in progress. Reports don't
+            # include its memory before it is complete.
             outdated = [c for c in self._controllers.values() if c.needs_report()]
         for controller in outdated:
             if (
@@ -276,7 +281,7 @@
         name = engine.record.name
 
         def epoch() -> Epoch | None:
-            # A step of a desk that was replaced meanwhile knows less than the new one.
+            # A replaced controller must not send orders: its inventory is outdated.
             return self._epoch() if self._controllers.get(name) is controller else None
 
         controller = EngineController(
@@ -288,7 +293,7 @@
         return controller
 
     def _uses_by_upstream(self) -> dict[Upstream, set[Use]]:
-        """Return what calls of all entries use at each engine."""
+        """Return the models and adapters in use at each engine, over all entries."""
         uses: defaultdict[Upstream, set[Use]] = defaultdict(set)
         with self._lock:
             for work in self._peer_work.running():
@@ -349,7 +354,7 @@
     ) -> None:
         incomplete = any(c.engine.inventory is None for c in controllers)
         if incomplete and now - self._leading_since < INVENTORY_TIMEOUT_S:
-            # What no known engine holds may well be on one that is still unknown.
+            # A seemingly missing model may be resident on an engine yet to report.
             return
         by_name = {c.engine.record.name: c for c in controllers}
         in_use = {
@@ -448,8 +453,8 @@
             drain=move.drain,
             demand=demand.get(move.model, 0.0),
         )
-        # A thread of its own, one an engine at most: loads take seconds, and orders for
-        # adapters would wait for them once as many engines load as there are workers.
+        # Model loads take seconds. In the worker pool they could occupy all threads and
+        # delay adapter orders, so each gets its own thread, at most one per engine.
         threading.Thread(
             target=self._run_step,
             args=(
@@ -465,10 +470,10 @@
 
 
 def _is_candidate(controller: EngineController, service: Service) -> bool:
-    """Return whether an engine is one of a service's that calls may still go to.
+    """Return whether an engine belongs to a service and accepts new requests.
 
-    Counted in, the models of one that is leaving would be loaded elsewhere only once it
-    has gone, and callers be refused from the moment at which it gets no more calls.
+    Draining engines are excluded: otherwise their models would be loaded elsewhere only
+    after they have stopped, and requests would be refused until then.
     """
     record = controller.engine.record
     return record.service == service and not record.draining
--- a/src/persimmonhitch/direct/leader_election.py
+++ b/src/persimmonhitch/direct/leader_election.py
@@ -1,4 +1,4 @@
-"""Holds the lease of orders, and hands it over when another entry is better placed."""
+"""Election of the leader: acquires, renews and releases the orders lease."""
 
 import threading
 import time
@@ -14,36 +14,37 @@
 from .news import HoldingNews, Renewed, Resigned, StoreAnswer, StoreAsk
 
 LEADER_TTL_S: Final = 1.1
-"""Seconds without news after which the holder of the lease may have gone; two of its
-messages have been missed then."""
+"""Seconds without a message from the leader after which its lease is checked; by then
+two broadcasts are missing."""
 PROBE_TTL_S: Final = 1.5
-"""Seconds for which a peer's word that the store is away holds; three of its looks."""
+"""Seconds for which a peer's report that the store is unavailable is valid; it probes
+the store three times in that period."""
 CANDIDATES_PER_STEP: Final = 4
-"""Entries that seek a free lease at the same moment."""
+"""Entries that try to acquire a free lease in the same step."""
 MAX_BACKOFF_STEPS: Final = 3
-"""Turns after which all that are left seek it."""
+"""Steps after which all remaining entries try to acquire it."""
 PROBE_THREADS: Final = 2
-"""Threads that look at the store for others; such a look waits for its timeout."""
+"""Threads that probe the store for the leader; failed probes last for their timeout."""
 
 
 class Peers(Protocol):
-    """What the leader needs of the other entries."""
+    """The other entries, as far as the leader election needs them."""
 
     def send(self, vm: Vm, msg: Any) -> bool:
-        """Send a message to one; return whether a link to it is open."""
+        """Send a message to an entry; return whether a link to it is open."""
 
     def send_to_all(self, msg: Any) -> None:
-        """Send a message to all in reach."""
+        """Send a message to all reachable entries."""
 
     def peer_vms(self) -> frozenset[Vm]:
-        """Return all other entries, in reach or not."""
+        """Return the VMs of all other entries, reachable or not."""
 
     def restarted(self, vm: Vm, old: Incarnation) -> bool:
-        """Return whether another process than ``old`` has greeted from a VM."""
+        """Return whether a process other than ``old`` has connected from a VM."""
 
 
 class LeaderElection:
-    """Seeks the lease, renews it, and resigns when it can't while others can.
+    """Acquires and renews the lease; releases it if only other entries reach the store.
 
     Parameters
     ----------
@@ -53,12 +54,12 @@
         The lease in the store.
     peers : Peers
         The other entries.
-    last_orders : callable
-        Returns when each engine was last ordered from here.
-    guard : float
-        Seconds that have to pass between orders of two entries.
-    place : callable
-        Returns how many entries are to seek the lease before this one.
+    last_order_times : callable
+        Returns the time of this entry's last order to each engine.
+    guard_s : float
+        Minimum time between orders of two entries to the same engine.
+    rank : callable
+        Returns how many entries take precedence in acquiring a free lease.
     """
 
     def __init__(
@@ -86,15 +87,15 @@
 
     @property
     def predecessor(self) -> Predecessor | None:
-        """Return who held the lease before; None for nobody."""
+        """Return the previous holder of the lease, or None."""
         return self._lease.before
 
     def start(self) -> None:
-        """Seek the lease from now on."""
+        """Start competing for the lease."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Let the next entry have the lease."""
+        """Stop competing for the lease and release it if held."""
         self._stopping.set()
         self._step_due.set()
         epoch = self._lease.epoch()
@@ -103,16 +104,16 @@
         self._lease.release()
 
     def store_restored(self) -> None:
-        """Give no orders by the word of a store that came back from a copy."""
+        """Drop the lease after the store was restored from an older copy."""
         self._lease.store_restored()
         self._step_due.set()
 
     def epoch(self) -> Epoch | None:
-        """Return the epoch of the lease, also past its time while nobody can take it.
+        """Return the epoch of the lease, or None if this entry may not send orders.
 
-        In an outage of the store the lease ends and none can be taken; no adapter
-        would be loaded until it is over. If all other entries say that the store is
-        away, the last holder goes on.
+        During a store outage the lease expires and no entry can acquire it, so no
+        adapter would be loaded. If all other entries report the store as unavailable,
+        the last leader continues under its epoch.
         """
         epoch = self._lease.epoch()
         if epoch is not None:
@@ -126,9 +127,9 @@
         return self._lease.caretaker() if store_unavailable and peers else None
 
     def orders_allowed_at(self, upstream: Upstream, leading_since: float) -> float:
-        """Return the time from which an engine may be ordered from here."""
+        """Return the time from which this entry may send orders to an engine."""
         predecessor = self._lease.before
-        # A link that has ended says nothing: it may be cut while the process goes on.
+        # A lost link does not prove that the process has ended, but a new process does.
         ended = predecessor is not None and self._peers.restarted(
             predecessor.vm, predecessor.incarnation
         )
@@ -146,12 +147,12 @@
         try:
             self._step()
         except Exception as exc:
-            # Without a next step the lease would end and never be taken again.
+            # The thread must survive, or this entry would never renew or acquire again.
             log("lease_step_failed", error=repr(exc))
 
     def _step(self) -> None:
-        # Another holder's news are proof enough of its life; without this the others'
-        # looks at the lease would be most calls to the store.
+        # The leader's broadcasts show that it is alive. Without this check, polling of
+        # the lease by all other entries would make up most calls to the store.
         leader_age = self._clock() - self._leader_seen_at
         if self._lease.epoch() is None and leader_age <= LEADER_TTL_S + self._backoff():
             return
@@ -164,10 +165,10 @@
             self._peers.send_to_all(StoreAsk(epoch))
 
     def _backoff(self) -> float:
-        """Return the seconds for which a free lease is left to those before.
+        """Return the seconds for which entries of a higher rank go first.
 
-        Dozens of entries that all seek it at once cost the store as many calls at each
-        look, and it is better held by a VM with processor time to spare.
+        If dozens of entries competed at once, each step would cost as many calls to the
+        store. The rank also prefers VMs with spare processor time as leaders.
         """
         return (
             min(self._rank() // CANDIDATES_PER_STEP, MAX_BACKOFF_STEPS)
@@ -175,14 +176,14 @@
         )
 
     def receive_probe(self, vm: Vm, msg: StoreAsk) -> None:
-        """Look whether the store can be reached from here, for the lease's holder."""
+        """Probe the store on request of the leader."""
         self._probes.submit(self._send_probe_reply, vm, msg.epoch)
 
     def _send_probe_reply(self, vm: Vm, epoch: Epoch) -> None:
         self._peers.send(vm, StoreAnswer(epoch, self._lease.reachable()))
 
     def receive_probe_reply(self, vm: Vm, msg: StoreAnswer) -> None:
-        """Give the lease up if another entry can renew one and this one can't."""
+        """Release the lease if the peer reaches the store and this entry does not."""
         if not msg.reached:
             self._probe_failed_at[vm] = self._clock()
             return
@@ -199,19 +200,19 @@
         self._peers.send_to_all(Resigned(epoch, ages))
 
     def receive_release(self, vm: Vm, msg: Resigned) -> None:
-        """Seek the lease that another entry has given up."""
+        """Compete for the lease that another entry has released."""
         self._lease.hear_resigned(vm, msg.epoch)
         self._history.record_release(vm, msg.ages)
         self._leader_seen_at = self._clock() - LEADER_TTL_S
         self._step_due.set()
 
     def receive_renewal(self, msg: Renewed, sent_at: float) -> None:
-        """Note when the lease's holder has renewed it, as it told at ``as_of``."""
+        """Record the time of a renewal that the leader reported at ``sent_at``."""
         delay = max(0.0, self._clock() - sent_at)
         self._lease.hear_renewal(Version(msg.version), msg.age + delay)
 
     def receive_inventory_update(self, vm: Vm, msg: HoldingNews) -> None:
-        """Note the life and the orders of the lease's holder."""
+        """Record that the leader is alive, and its order count for an engine."""
         self._leader_seen_at = self._clock()
         self._lease.saw_epoch(msg.epoch)
         self._history.record_orders(vm, msg.upstream, msg.orders)
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -1,4 +1,4 @@
-"""The process that callers reach, where upstreams are called directly.
+"""The entry: the HTTP front process, which calls upstreams directly.
 
 Usage:
   persimmonhitch-direct --settings=FILE [--check]
@@ -83,9 +83,9 @@
 STATUS_THREADS: Final = 3
 LEASE_NAME: Final = "orders"
 LEASE_CALL_FRACTION: Final = 0.3
-"""Part of the lease's time that one call for it may take."""
+"""Timeout of a call to renew the lease, as a fraction of the lease's duration."""
 STOP_MARGIN_S: Final = 0.25
-"""Seconds before the platform's limit at which the last requests are given up."""
+"""Seconds before the platform's stop limit at which remaining requests are aborted."""
 
 
 STOPPING: Final = Failure(
@@ -94,7 +94,7 @@
 
 
 class Entry:
-    """All parts of the process."""
+    """The components of the process and their connections."""
 
     def __init__(self, cfg: DirectSettings) -> None:
         self.cfg = cfg
@@ -104,13 +104,13 @@
         self.active_config = ActiveConfig(NOTHING, RouteTable(()))
         self.draining = threading.Event()
         self.refusing = threading.Event()
-        """Set when too little time is left at a stop for another request."""
+        """Set during a stop when too little time remains for new requests."""
         self._stopped = threading.Event()
         self._tick_due = threading.Event()
         self._published_models: dict[
             Upstream, tuple[frozenset[Model], frozenset[Model]]
         ] = {}
-        """What models all others were told last of each engine, there and coming."""
+        """Resident and loading models of each engine in its last broadcast."""
         self.eras = Eras()
         store = StoreClient(cfg.store, cfg.store_timeout, self.eras)
         host, port = cfg.link[0]
@@ -166,7 +166,7 @@
 
     def _make_leader(self) -> Leader:
         cfg = self.cfg
-        # Its renewals must be known to have failed well before the lease is over.
+        # A failed renewal must be detected well before the lease expires.
         lease_store = StoreClient(cfg.store, cfg.lease * LEASE_CALL_FRACTION, self.eras)
         lease = LeaseKeeper(
             lease_store,
@@ -254,13 +254,13 @@
             listed and self.active_config.cfg.version > 0 and not self.draining.is_set()
         )
 
-    # -- what is told ----------------------------------------------------------------
+    # -- updates ---------------------------------------------------------------------
 
     def _on_era_update(self, _vm: Vm, msg: EraNews, _as_of: float) -> None:
         self.eras.note(Era(msg.era))
 
     def _on_era(self, era: Era) -> None:
-        """Trust nothing that the store said before it came back from a copy."""
+        """Discard all state read before the store was restored from an older copy."""
         self.election.store_restored()
         for watcher in self.watchers.values():
             watcher.restored()
@@ -327,21 +327,21 @@
             self._tick_due.set()
 
     def send(self, vm: Vm, msg: object) -> bool:
-        """Send a message to one entry, by way of others if there is no link to it."""
+        """Send a message to an entry, by broadcast if there is no link to it."""
         if not self.mesh.send(vm, msg):
             self.broadcast.publish(msg)
         return True
 
     def send_to_all(self, msg: object) -> None:
-        """Send a message to all entries in reach."""
+        """Send a message to all reachable entries."""
         self.broadcast.publish(msg)
 
     def peer_vms(self) -> frozenset[Vm]:
-        """Return all other entries."""
+        """Return the VMs of all other entries, reachable or not."""
         return self.peers
 
     def restarted(self, vm: Vm, old: Incarnation) -> bool:
-        """Return whether another process than ``old`` has greeted from a VM."""
+        """Return whether a process other than ``old`` has connected from a VM."""
         return self.broadcast.incarnation(vm) not in (None, old)
 
     def _request_load(self, msg: Want) -> None:
@@ -352,7 +352,7 @@
             self.broadcast.publish(msg)
 
     def _request_limit(self, msg: LimitAsk) -> None:
-        """Ask for a place at an upstream; no answer comes while there is no holder."""
+        """Request a slot at an upstream; unanswered while there is no leader."""
         if self.election.epoch() is not None:
             self.limits.hear_grant(self.limits.grant(self.vm, msg))
         elif self.leader_vm is not None:
@@ -362,10 +362,10 @@
         if self.election.epoch() is not None:
             self.mesh.send(vm, self.limits.grant(vm, msg))
 
-    # -- life ------------------------------------------------------------------------
+    # -- lifecycle -------------------------------------------------------------------
 
     def start(self) -> None:
-        """Serve and register."""
+        """Start all components and register in the store."""
         for watcher in self.watchers.values():
             watcher.start()
         self.mesh.start()
@@ -413,7 +413,7 @@
                 log("tick_failed", error=repr(exc))
 
     def _followers(self) -> frozenset[Vm]:
-        """Return the entries that need not watch the store while this one does."""
+        """Return the entries that receive watch events from this one."""
         if not may_follow(self.cfg.stale_most_ms / 1000):
             return frozenset()
         routes = self.broadcast.routes
@@ -425,7 +425,7 @@
         self.broadcast.publish(self.update_delta.compute(update, time.monotonic()))
 
     def reload(self, path: Path) -> None:
-        """Read the settings anew; those of a stop are taken while the process runs."""
+        """Reload the settings; only those of the stop apply without a restart."""
         result = load(DirectSettings, path)
         if not isinstance(result, Success):
             mistakes = "; ".join(str(mistake) for mistake in result.failure())
@@ -439,10 +439,10 @@
         log("settings_read", changed=",".join(changed) or "-")
 
     def stop(self, lifecycle: Lifecycle) -> None:
-        """Leave without cutting a request.
+        """Shut down gracefully, letting requests in progress finish.
 
-        Readiness goes first and the listener stays open for a while, since the
-        balancer sends new connections until it has asked twice in vain.
+        Readiness fails first and the listener stays open for a while: the balancer
+        opens new connections until two of its readiness checks have failed.
         """
         started_at = time.monotonic()
         self.draining.set()
@@ -467,7 +467,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the entry until a signal ends it."""
+    """Run the entry until a signal stops it."""
     args = docopt(__doc__, argv)
     path = Path(args["--settings"])
 
--- a/src/persimmonhitch/direct/settings.py
+++ b/src/persimmonhitch/direct/settings.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class DirectSettings:
-    """What the platform sets for one entry."""
+    """Settings that the platform provides for one entry."""
 
     vm: str = setting("vm", "name", "name of this VM")
     zone: str = setting("vm", "zone", "availability zone of this VM")
--- a/src/persimmonhitch/direct/update_delta.py
+++ b/src/persimmonhitch/direct/update_delta.py
@@ -1,4 +1,4 @@
-"""What of an entry's news has changed since it was last told."""
+"""Changes of an entry's status since its last update."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,18 +6,18 @@
 from .news import NodeNews, Running
 
 FULL_UPDATE_INTERVAL_S: Final = 2.0
-"""Seconds after which everything is told again, for entries that have missed some."""
+"""Seconds between two full updates, for entries that have missed some."""
 
 
 @dataclass
 class UpdateDelta:
-    """Keeps what was told last; times are monotonic seconds."""
+    """Reduces updates to their changes; times are monotonic seconds."""
 
     _last_update: NodeNews | None = None
     _full_at: float = 0.0
 
     def compute(self, update: NodeNews, now: float) -> NodeNews:
-        """Return what is to be told of an entry's news."""
+        """Return the part of an update to send: its changes, or all when due."""
         last, self._last_update = self._last_update, update
         if last is None or now - self._full_at >= FULL_UPDATE_INTERVAL_S:
             self._full_at = now
--- a/src/persimmonhitch/direct/upstreams.py
+++ b/src/persimmonhitch/direct/upstreams.py
@@ -1,4 +1,4 @@
-"""The list of upstreams, as the store has it."""
+"""The list of upstreams, read from their records in the store."""
 
 import time
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from ..store.watcher import View
 
 REREGISTRATION_TIME_S: Final = 2.0
-"""Seconds after the store's return in which upstreams enter themselves again, whose
-entries lapsed only because they could not renew them."""
+"""Seconds after a store outage in which upstreams register again whose records expired
+only because they could not be renewed."""
 
 
 @dataclass(frozen=True)
@@ -25,10 +25,10 @@
 
 
 class UpstreamList:
-    """Decodes entries, each version once, and holds back removals after an outage.
+    """Decodes records, each version once, and delays removals after a store outage.
 
-    While the store is away it may drop the entries of upstreams that live. Taken at
-    its word at its return, it would have every request refused until they are back.
+    During an outage the store may drop the records of running upstreams. If these were
+    removed right away, every request would be refused until they have registered again.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
         self._published: list[UpstreamRecord] = []
 
     def store_unavailable(self) -> None:
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         self._store_unavailable_at = self._clock()
 
     def update(self, view: View) -> None:
-        """Take the store's entries."""
+        """Replace the list by the records of a new view."""
         old = {name: item.record for name, item in self._decoded.items()}
         self._decoded = {
             name: self._decode(name, obj) for name, obj in view.objects.items()
@@ -80,7 +80,7 @@
     def _keep_draining(
         self, old: _DecodedRecord | None, obj: StoredObject, new: UpstreamRecord
     ) -> UpstreamRecord:
-        """Keep what was leaving so, where a copy of the store shows it as before."""
+        """Keep an upstream draining if a restored, older copy of the store undid it."""
         if old is None or old.record is None or not old.record.draining:
             return new
         restored = era_of(obj.version) > era_of(old.version)
@@ -98,7 +98,7 @@
             )
 
     def expire(self) -> None:
-        """Drop what has not come back in time."""
+        """Remove upstreams that have not registered again in time."""
         now = self._clock()
         expired = [name for name, (until, _) in self._expiring.items() if until <= now]
         for name in expired:
--- a/src/persimmonhitch/direct/watchers.py
+++ b/src/persimmonhitch/direct/watchers.py
@@ -1,4 +1,4 @@
-"""What an entry follows in the store, and how closely."""
+"""Watches of the store that an entry runs, and their timing."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,26 +9,26 @@
 from .upstreams import UpstreamList
 
 WATCH_S: Final = 2.0
-"""Seconds of one watch: a connection that went silent is noticed a little after, within
-the time that a change may take to be in force."""
+"""Seconds of one watch. An unresponsive connection is detected shortly after, within
+the time in which a change has to be in force."""
 UPSTREAM_WATCH_PAUSE_S: Final = 0.7
-"""Seconds between two watches of the upstreams. Each of them writes its entry about
-each second, and a watch ends at the first; without the pause every entry of an upstream
-would cost every one of ours a call. An upstream may get work for two seconds after it
-is leaving."""
+"""Seconds between two watches of the upstreams. Each upstream rewrites its record about
+once per second, and a watch ends at the first change. Without the pause, each write
+would cause a call by every entry. An upstream may receive requests for up to two
+seconds after it starts draining."""
 MAX_RETRY_S: Final = 1.0
-"""Seconds between tries while the store is away."""
+"""Maximum seconds between two attempts while the store is unavailable."""
 ENTRY_WATCH_PAUSE_S: Final = 1.0
-"""Seconds between two watches of the entries, which start and stop many at a time."""
+"""Seconds between two watches of the entries, many of which start or stop together."""
 BLOCKED_WATCH_S: Final = 5.0
-"""Seconds of a watch of blocked calls, which other entries tell sooner."""
+"""Seconds of a watch of blocked requests, which peers report earlier."""
 
 Listener = Callable[[View], None]
 
 
 @dataclass(frozen=True)
 class Listeners:
-    """Who takes each new view."""
+    """Receivers of each new view, by kind of object."""
 
     config: Listener
     upstreams: UpstreamList
@@ -39,7 +39,7 @@
 def make_watchers(
     store: ObjectStore, listeners: Listeners, changed: Changed
 ) -> dict[Kind, Watcher]:
-    """Return a watcher for each kind; ``changed`` takes all that they see."""
+    """Return a watcher for each kind; ``changed`` receives all changes."""
     return {
         Kind.FLEET: Watcher(
             store, Kind.FLEET, listeners.config, WATCH_S, MAX_RETRY_S, changed=changed
--- a/tests/test_direct_engine_controller.py
+++ b/tests/test_direct_engine_controller.py
@@ -1,4 +1,4 @@
-"""Orders to one engine, which must never hold more than it has room for."""
+"""Orders to one engine, which must never exceed its memory or its adapter slots."""
 
 import pytest
 from fake_engine import Clock, FakeEngine, desk_of
@@ -10,11 +10,11 @@
 
 
 def test_full_engine_is_not_overloaded_by_a_new_leader():
-    """A new holder of the lease learns at once what an engine holds, but may not order
-    it yet, since the orders of the one before are too recent. A call wants an adapter
-    meanwhile. The adapter that was to make room for it must count as held until its
-    unload has really been sent; else the next load goes to a full engine, which
-    crashes, and all of its callers lose their answers.
+    """Guards against a crash of a full engine after a change of the leader.
+
+    The new leader knows the inventory but may not send orders yet. A request needs an
+    adapter meanwhile. The adapter to evict must count as loaded until its unload order
+    is sent, or the next load exceeds the slots and the engine crashes.
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
@@ -29,8 +29,8 @@
 
 
 def test_unanswered_orders_are_not_executed_twice():
-    """An order gets no answer and the engine carries it out seconds later, after
-    another one. By then its place is taken; the engine must refuse it.
+    """Guards against an unanswered order that the engine executes seconds later, after
+    another one. Its slot is in use by then, so the engine must refuse it.
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1",))
@@ -71,9 +71,10 @@
 
 
 def test_load_time_excludes_the_report_lag():
-    """A model that runs nothing makes room for one that callers wait for. The engine's
-    reports show each step some hundred ms late; waited for twice, they take as long as
-    the load itself, and callers whose aim is not much more get their answers late.
+    """Guards against waiting for a report after each step of an eviction and load.
+
+    Reports lag by some hundred ms. Two of them can take as long as the load itself, and
+    requests with a low latency target would be answered late.
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
@@ -86,8 +87,8 @@
 
 
 def test_cold_load_completes_when_the_report_shows_it():
-    """How long it takes depends on the loads of all engines; told too soon, callers
-    are sent to it and refused there.
+    """Guards against requests refused because a model was published before its load
+    ended. A load from the weight store takes longer while other engines load, too.
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
@@ -101,9 +102,11 @@
 
 
 def test_unreported_request_delays_the_load():
-    """An entry is cut off while its calls use the model that is to make room. The
-    engine accepts the unload and waits for them. A load that it took before they have
-    ended would be more than it has room for, and it would crash with all its calls.
+    """Guards against a load into memory that unreported requests still use.
+
+    An entry is disconnected while its requests use the evicted model. The engine
+    accepts the unload and waits for them to end; an earlier load would exceed its
+    memory, and the engine would crash with all its requests.
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
@@ -120,7 +123,7 @@
 
 
 def test_no_model_is_loaded_into_used_memory():
-    """The plan counted on room that another load has taken meanwhile."""
+    """Guards against a placement that relies on memory which another load now uses."""
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other", "small"))
     controller, _published = desk_of(engine, clock)
@@ -131,8 +134,8 @@
 
 
 def test_adapters_in_use_are_not_unloaded():
-    """All places of an engine are taken by adapters that run calls: an unload would
-    wait for them, and every new call for those adapters would be refused meanwhile.
+    """Guards against the unload of an adapter in use when all slots are occupied. The
+    unload would wait, and new requests for that adapter would be refused until then.
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
@@ -142,10 +145,11 @@
 
 
 def test_adapter_in_use_keeps_its_slot():
-    """An entry is cut off from the others while its calls use an adapter, so that the
-    adapter looks idle. Its unload is accepted and waits for those calls. Counted as
-    gone at once, its place would be given to another adapter; the engine, ordered
-    beyond its places, would crash with all of its calls.
+    """Guards against reuse of a slot before the unload of its adapter has completed.
+
+    An entry is disconnected while its requests use an adapter, which then seems idle.
+    Its unload is accepted but waits for those requests. A load before their end would
+    exceed the slots, and the engine would crash with all its requests.
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
@@ -165,7 +169,7 @@
 
 
 def test_one_pending_adapter_unload_at_a_time():
-    """The same: one place is wanted, so one adapter leaves, not one at each try."""
+    """Guards against another adapter eviction at each attempt to free a single slot."""
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
     engine.running = {"a1", "a2"}
@@ -177,7 +181,7 @@
 
 
 def test_adapter_loads_run_between_model_loads():
-    """Guards against adapters that are refused while an engine loads model on model."""
+    """Guards against adapters refused throughout consecutive model loads."""
     clock = Clock()
     engine = FakeEngine(clock)
     controller, _published = desk_of(engine, clock)
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -1,4 +1,4 @@
-"""The holder of the orders lease, from the word of a caller to the order."""
+"""The leader, from an entry's load request to the order to an engine."""
 
 import math
 from contextlib import contextmanager
@@ -32,7 +32,7 @@
 
 
 class StubElection:
-    """A lease that this entry holds."""
+    """An election that this entry has won."""
 
     predecessor = None
 
@@ -50,7 +50,7 @@
 
 
 class Clock:
-    """Real time would do; engines of the stand-in need one to be asked for."""
+    """A constant time, which the stand-in engines require."""
 
     now = 0.0
 
@@ -71,7 +71,7 @@
 
 @contextmanager
 def started_leader(upstreams=("e1",)):
-    """Return a holder that looks at what is to be loaded only when it is told to."""
+    """Yield a leader that runs placement rounds only on load requests."""
     leader = Leader(
         Vm("a"),
         lambda _last: StubElection(),
@@ -84,7 +84,7 @@
     leader.configure(CFG)
     leader.update_upstreams([record(name) for name in upstreams])
     leader.run_round()
-    wait_for(lambda: not leader._refreshing, "the engines' state to be learned")
+    wait_for(lambda: not leader._refreshing, "the inventories of the engines")
     leader.start()
     yield leader
     leader.stop()
@@ -102,9 +102,8 @@
 
 
 def test_load_request_starts_a_round_immediately(leader):
-    """Calls come for a model that no engine has, and wait for half a second for the
-    word that it is being loaded. A look at what is asked that comes by its period only
-    takes a good part of that from them.
+    """Guards against load requests that wait for the next periodic round. Requests for
+    a missing model wait only half a second for the report that it is being loaded.
     """
     leader.receive_entry_update(Vm("b"), entry_update({SMALL: 9000.0}))
     leader.receive_load_request(Vm("b"), Want(SMALL, None, None))
@@ -128,8 +127,8 @@
 
 
 def test_model_used_without_an_adapter_is_in_use(leader):
-    """Calls run at an engine that use no adapter. Taken for idle, their model would be
-    unloaded first, and the engine would load nothing until they have ended.
+    """Guards against a model that counts as idle because its requests use no adapter.
+    It would be evicted first, and the engine could load nothing until they have ended.
     """
     work = Running(Upstream("e1"), 1, 100, 0, (Use(BIG, None),))
     leader.receive_entry_update(Vm("b"), entry_update({}, (work,)))
--- a/tests/test_direct_lease.py
+++ b/tests/test_direct_lease.py
@@ -1,4 +1,4 @@
-"""The lease of orders changes hands without two holders, and without a long pause."""
+"""The orders lease moves to another entry without two holders and without delay."""
 
 import pytest
 
@@ -29,8 +29,8 @@
 
 
 def test_released_lease_is_acquired_immediately():
-    """The holder is cut off from the store; the others are not. It resigns and says
-    so; without its word they wait until its time is over.
+    """The leader alone cannot reach the store and releases the lease by a message.
+    Without the message the others wait until the lease expires.
     """
     clock, _store, first, second = keepers()
     first.step()
@@ -57,8 +57,8 @@
 
 
 def test_reported_renewal_counts_from_its_time():
-    """The holder's VM loses power. Another entry that knows when it last renewed takes
-    the lease when it is over; one that only then begins to look would wait once more.
+    """Guards against waiting for a second lease duration after the leader's VM failed.
+    Peers know the time of its last renewal and acquire the lease when it expires.
     """
     clock, _store, first, second = keepers()
     first.step()
@@ -71,8 +71,8 @@
 
 
 def test_leader_can_renew_after_a_store_outage():
-    """Nobody reached the store for seconds, and all come back at the same moment. A
-    peer that counts the outage as the holder's silence would take its lease.
+    """Guards against a peer that acquires the lease right after a store outage because
+    it counts the outage as missing renewals of the leader.
     """
     clock, store, first, second = keepers()
     first.step()
@@ -98,9 +98,8 @@
 
 
 def test_released_lease_names_its_predecessor():
-    """The holder stops as planned and leaves the lease free. A process that starts
-    just then finds a lease of nobody, and would order engines at once that had an
-    order a moment ago.
+    """Guards against orders right after those of a leader that stopped as planned. A
+    process that starts then finds a free lease and has to know its last holder.
     """
     clock, store, first, second = keepers()
     first.step()
@@ -117,12 +116,11 @@
 
 
 def predecessor(vm, held_for=0.0):
-    """Return a predecessor."""
     return Predecessor(vm, Incarnation(f"i-{vm}"), held_for)
 
 
 OLD_PROCESS_S, NEW_PROCESS_S = 10.0, 1.0
-"""Seconds since the start of the process that takes the lease."""
+"""Age of the process that acquires the lease."""
 
 
 @pytest.mark.parametrize(
@@ -144,9 +142,10 @@
     ],
 )
 def test_orders_allowed_at(process_age_s, previous, ended, released, upstream, wait_s):
-    """Engine e1 was ordered a second ago by VM a, e2 by nobody of whom this process was
-    told. Orders of two holders that come close together could undo each other; and a
-    process that has just started was told of no order before its start.
+    """Guards against orders of two leaders in quick succession, which may conflict.
+
+    VM a sent an order to engine e1 one second ago; no order to e2 was reported. A new
+    process has received no reports of orders from before its start.
     """
     clock = Clock()
     history = OrderHistory(B, GUARD_S, clock)
--- a/tests/test_direct_start.py
+++ b/tests/test_direct_start.py
@@ -1,4 +1,4 @@
-"""The first moments of an entry's process."""
+"""Startup of an entry's process."""
 
 import signal
 import subprocess
@@ -11,7 +11,7 @@
 
 
 def blocks_sighup(pid):
-    """Return whether a process holds SIGHUP back."""
+    """Return whether a process blocks SIGHUP."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     except OSError:
@@ -21,7 +21,7 @@
 
 
 def test_sighup_during_startup_does_not_end_the_process():
-    """Guards against SIGHUP while modules load, when nothing waits for it yet."""
+    """Guards against SIGHUP during imports, before its handler is installed."""
     args = [sys.executable, "-m", "persimmonhitch.direct", "--settings=none.ini"]
     process = subprocess.Popen(args, stderr=subprocess.DEVNULL)
     wait_for(
--- a/tests/test_direct_stop.py
+++ b/tests/test_direct_stop.py
@@ -1,4 +1,4 @@
-"""A stop must not take requests that it has no time for."""
+"""A stopping server must not accept requests that it cannot finish in time."""
 
 import http.client
 import threading
@@ -16,9 +16,9 @@
 
 
 def test_idle_connection_is_closed_on_stop():
-    """A caller keeps a connection to an entry that is stopping and sends its next
-    request on it seconds later. It would be cut in the middle of its answer at the end
-    of the entry's time; closed before, the caller goes elsewhere with all of its time.
+    """Guards against an answer aborted at the stop limit. A caller sends its next
+    request over a persistent connection to a stopping entry. If the idle connection is
+    closed before, the caller uses another entry, with its full timeout left.
     """
     app = App()
     server = WebServer(app, "127.0.0.1", 0, 4, keep_streams=True)
@@ -36,7 +36,7 @@
 
 
 def test_close_does_not_write_to_a_closed_pipe(monkeypatch):
-    """Guards against a wake-up that is written after the server has closed its pipe."""
+    """Guards against a wake-up written after the server has closed its trigger pipe."""
     server = WebServer(App(), "127.0.0.1", 0, 4)
     server.start()
     trigger = server._server.trigger
