--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -53,8 +53,8 @@
     initial: int = 24
     maximum: int = 256
     window_s: float = 0.5
-    decrease: float = 0.9
-    error_decrease: float = 0.7
+    decrease_factor: float = 0.9
+    error_decrease_factor: float = 0.7
     decrease_above: float = 1.0
     """Ratio of measured latency to its target above which the limit decreases."""
     increase_below: float = 0.95
@@ -128,7 +128,7 @@
 
     def on_error(self, now: float) -> None:
         """Decrease at once if the upstream refused or failed for lack of capacity."""
-        self._decrease(self._bounds.error_decrease)
+        self._decrease(self._bounds.error_decrease_factor)
         self._start_window(now)
 
     def _adjust_if_due(self, now: float) -> None:
@@ -158,7 +158,7 @@
         # would reduce the limit to its minimum, and callers would queue in front of
         # an engine with spare capacity.
         if self._running <= self.limit:
-            self._decrease(self._bounds.decrease)
+            self._decrease(self._bounds.decrease_factor)
 
     def _decrease(self, factor: float) -> None:
         self._slow_start = False
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -113,17 +113,17 @@
         missed the first-token target while another account, ahead by no more than
         ``MAX_LEAD_TOKENS``, has a request that can still meet it.
         """
-        busy = [queue for queue in self._queues.values() if queue.items]
-        if not busy:
+        nonempty = [queue for queue in self._queues.values() if queue.items]
+        if not nonempty:
             return None
-        min_counter = min(queue.counter for queue in busy)
+        min_counter = min(queue.counter for queue in nonempty)
         on_time = [
             queue
-            for queue in busy
+            for queue in nonempty
             if not queue.items[-1].is_late(now)
             and (queue.counter - min_counter) * queue.weight <= MAX_LEAD_TOKENS
         ]
-        queue = min(on_time or busy, key=lambda queue: queue.counter)
+        queue = min(on_time or nonempty, key=lambda queue: queue.counter)
         return min(queue.items, key=lambda item: _service_order(item, now))
 
     def serve(self, item: QueuedRequest) -> None:
@@ -162,10 +162,10 @@
 
     def pick_overflow(self) -> QueuedRequest | None:
         """Return the newest item of the account with the most tokens for its weight."""
-        busy = [queue for queue in self._queues.values() if queue.items]
-        if not busy:
+        nonempty = [queue for queue in self._queues.values() if queue.items]
+        if not nonempty:
             return None
-        return max(busy, key=lambda queue: queue.tokens / queue.weight).items[-1]
+        return max(nonempty, key=lambda queue: queue.tokens / queue.weight).items[-1]
 
     def _remove_idle(self) -> None:
         # A sidecar runs for weeks and serves a changing set of accounts. An idle
