--- a/src/persimmonhitch/decide/admission.py
+++ b/src/persimmonhitch/decide/admission.py
@@ -29,6 +29,7 @@
 MIN_RETRY_AFTER_S: Final = 1.0
 MAX_RETRY_AFTER_S: Final = 60.0
 MIN_RATE: Final = 1.0
+"""Lower bound of the service rate in estimates, in tokens per second."""
 RESERVED_THREADS: Final = 4
 """Threads of an entry that stay free for refusals, health checks and metrics."""
 EXPECTED_OUTPUT_SHARE: Final = 0.25
@@ -44,12 +45,12 @@
 
     Attributes
     ----------
-    ahead : float
+    backlog : float
         Queued tokens that are served before the request.
     rate : float
         Tokens per second, prompt and output, that the upstream serves when busy;
         0 if it has not been busy yet.
-    first_token : float
+    first_token_s : float
         Seconds from the start of a request at the upstream to its first token.
     running, limit : int
         Number of running requests, and its upper bound.
@@ -115,11 +116,11 @@
         Load of the upstream that would run the request.
     cost : float
         Tokens reserved for the request.
-    deadline_left : float
+    remaining_s : float
         Seconds until the deadline of the request.
     priority : Priority
         Priority class of the request.
-    needs : float
+    service_s : float
         Expected service time once started, in seconds; 0 if unknown.
     """
     if remaining_s <= service_s:
--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -25,9 +25,9 @@
 
     Attributes
     ----------
-    first_token : float
+    first_token_s : float
         Seconds from sending a request to the upstream until its first token.
-    gap : float
+    token_gap_s : float
         Seconds between tokens.
     """
 
@@ -45,7 +45,7 @@
         Number of concurrent requests.
     window_s : float
         Seconds over which latencies are collected before an adjustment.
-    decrease, error_decrease : float
+    decrease_factor, error_decrease_factor : float
         Factors applied to the limit when a target is missed, and after an error.
     """
 
--- a/src/persimmonhitch/decide/eviction.py
+++ b/src/persimmonhitch/decide/eviction.py
@@ -13,7 +13,9 @@
 from .targets import ModelRequirement, PlacementState, PlacementTarget
 
 MAX_SEARCHES: Final = 24
+"""Searches for evictions per round."""
 MAX_RELOCATIONS: Final = 4
+"""Relocations per round after which no further one is started."""
 MAX_RELOCATION_TARGETS: Final = 64
 """Number of upstreams, by free memory, that are considered for a relocation."""
 
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -45,7 +45,7 @@
     cost : float
         Tokens reserved for the request: prompt and maximum output.
     deadline_at, arrived_at : float
-        Times on the clock whose ``now`` is passed to the queue.
+        Times on the clock that supplies the ``now`` arguments of the queue.
     service_s : float
         Seconds of service that the request requires to finish.
     """
@@ -87,7 +87,7 @@
 
 
 class _ClassQueue:
-    """Fair queue of one priority class. An item is a ``QueuedRequest``."""
+    """Fair queue of one priority class; its items are requests."""
 
     def __init__(self) -> None:
         self._queues: dict[Account, _AccountQueue] = {}
--- a/src/persimmonhitch/decide/placement.py
+++ b/src/persimmonhitch/decide/placement.py
@@ -34,7 +34,9 @@
 
 HOTSPOT_LOAD: Final = 0.85
 MAX_LOADS: Final = 64
+"""Loads per round after which no further missing copy is considered."""
 MAX_HOTSPOT_LOADS: Final = 2
+"""Hotspots to relieve per round."""
 
 
 @dataclass(frozen=True)
@@ -155,7 +157,7 @@
         return Reason.DEMAND if index < need.floor else Reason.SPARE
 
     def relieve_hotspots(self) -> None:
-        """Load another copy of the busiest model of each of the hottest upstreams."""
+        """Load another copy of the busiest model of each of the worst hotspots."""
         limit = self.rate * HOTSPOT_LOAD
         hot = [u for u, traffic in self.state.traffic.items() if traffic > limit]
         hot.sort(key=lambda upstream: -self.state.traffic[upstream])
--- a/tests/test_decide_fairness.py
+++ b/tests/test_decide_fairness.py
@@ -1,4 +1,4 @@
-"""What accounts get from one upstream's queue when one of them asks for more."""
+"""Token shares of accounts in the queue of one upstream when one account floods it."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 def serve_tokens(queue, tokens, now=0.0):
-    """Return tokens served to each account out of the next ``tokens``."""
+    """Return how many of the next ``tokens`` served go to each account."""
     by_account = {}
     while sum(by_account.values()) < tokens:
         item = queue.pop(now)
@@ -47,9 +47,9 @@
 
 
 def test_flood_delays_only_its_own_account():
-    """One account has queued 500 requests when another sends its first.
+    """One account has 500 queued requests when another sends its first.
 
-    With one line for all, the other account would see a wait of 500 requests.
+    In a single first-come, first-served queue the other account would wait for all 500.
     """
     queue = fill(FairQueue(), *(queued(f"a{n}") for n in range(500)))
     serve_tokens(queue, 1000)
@@ -59,7 +59,7 @@
 
 
 def test_idle_account_accrues_no_credit():
-    """An account was idle for long and comes back with a backlog.
+    """An account returns from a long idle period with many requests.
 
     If its counter had stayed low, the others would wait until it caught up.
     """
@@ -80,9 +80,10 @@
 
 
 def test_batch_waits_for_idle_time_but_does_not_starve():
-    """Interactive work never ends while an overnight run waits.
+    """Interactive requests arrive without pause while an overnight run waits.
 
-    The run would not start at all; its operator finds no summaries in the morning.
+    Without promotion the run would never start, and its summaries would be missing in
+    the morning.
     """
     queue = fill(FairQueue(), queued("late", "night", left=80.0, priority=BATCH))
     order = []
@@ -98,7 +99,7 @@
 
 
 def test_expire_removes_requests_that_cannot_finish():
-    """A request's time runs out while it waits; its caller hears so at once."""
+    """A queued request that can no longer finish is removed and refused at once."""
     queue = fill(FairQueue(), queued("a", left=5.0, service_s=2.0), queued("b"))
     assert [item.request for item in queue.expire(3.0)] == ["a"]
     assert (len(queue), queue.tokens) == (1, 100.0)
@@ -107,7 +108,7 @@
 def test_overflow_removes_requests_of_the_account_that_caused_it():
     """One account fills the queue to its bound, then another sends one request.
 
-    The other account would be refused for a flood that it did not cause.
+    A plain bound would refuse the other account for a flood it did not cause.
     """
     queue = fill(FairQueue(), *(queued(f"a{n}") for n in range(10)))
     queue.push(queued("b0", "b"))
--- a/tests/test_decide_load.py
+++ b/tests/test_decide_load.py
@@ -1,4 +1,4 @@
-"""Admission, concurrency, retries and warm-up, each under its load pattern."""
+"""Admission, concurrency, retries and warm-up under their load patterns."""
 
 import pytest
 from returns.result import Failure as Err
@@ -25,7 +25,7 @@
     ],
 )
 def test_admission(view, remaining_s, service_s, expected):
-    """Work arrives faster than it is served; what can't finish hears so at once."""
+    """Under overload a request that can't finish in time is refused at once."""
     result = admit(view, 100.0, remaining_s, Priority.INTERACTIVE, service_s)
     if isinstance(result, Success):
         assert result.unwrap().wait_s == pytest.approx(expected)
@@ -43,7 +43,7 @@
 
 
 def adapt(limit, gap_of, start=0, seconds=60, demand=200):
-    """Run an upstream whose gap between tokens depends on how many run."""
+    """Adapt the limit to an upstream whose token gap depends on its concurrency."""
     for tick in range(start * 20, (start + seconds) * 20):
         running = min(limit.limit, demand)
         limit.on_start(running)
@@ -57,7 +57,7 @@
     [(0.001, 200, 40, 48), (0.004, 200, 8, 13), (0.001, 10, 16, 32)],
 )
 def test_limit_settles_at_the_latency_target(per_request, demand, low, high):
-    """More callers come than an engine can stream to at 54 ms a token."""
+    """More callers send requests than an engine can stream to at 54 ms per token."""
     limit = ConcurrencyLimit()
     assert low <= adapt(limit, lambda n: 0.01 + per_request * n, demand=demand) <= high
 
@@ -73,8 +73,9 @@
 def test_limit_decreases_once_for_streams_already_running():
     """Long streams are slow for many windows while no request starts or ends.
 
-    A limit that fell at each of them came down to one, and callers of the next
-    half minute waited for seconds before an engine with room (play, pattern burst).
+    A limit that decreased in each window fell to one, and for half a minute callers
+    waited for seconds in front of an engine with spare capacity (simulation, pattern
+    burst).
     """
     limit = ConcurrencyLimit()
     limit.on_start(16)
@@ -91,7 +92,7 @@
 
 
 def test_retries_are_limited_to_a_share_of_requests():
-    """All attempts fail; if each were retried, the fleet would get twice the work."""
+    """If every failed request were retried, the fleet would get twice the load."""
     budget = RetryBudget()
     retried = 0
     for number in range(1000):
@@ -125,7 +126,8 @@
     ],
 )
 def test_may_retry(code, verdict, repeatable, expected):
-    """A copy is unloaded while a request for it is on its way, or an upstream is
-    lost: what did not run, and what may be repeated, is tried at another one.
+    """A request that did not run, or is repeatable, is retried at another upstream.
+
+    It fails because its copy was unloaded meanwhile or its upstream was lost.
     """
     assert may_retry(Failure(code, "", verdict), repeatable) is expected
--- a/tests/test_decide_routing.py
+++ b/tests/test_decide_routing.py
@@ -1,4 +1,4 @@
-"""Where requests go, and which upstreams are kept from them."""
+"""Choice of upstreams for requests, and ejection of outliers."""
 
 from collections import Counter
 from dataclasses import replace
@@ -68,10 +68,10 @@
 
 
 def test_shared_report_does_not_cause_herding():
-    """Eight entries hold the same report for a second while 400 requests come.
+    """Eight entries use the same report for a second while 400 requests arrive.
 
-    If they trusted it alone, all would send to the upstream it calls idle, whose
-    callers would wait while the other upstreams have room.
+    If the entries relied on the report alone, all would choose the upstream reported
+    as idle, and its callers would wait while other upstreams have spare capacity.
     """
     rng = Random(3)
     names = [f"u{number}" for number in range(6)]
@@ -90,9 +90,9 @@
 
 
 def test_low_rate_of_an_idle_upstream_is_ignored():
-    """An upstream with nothing to do reports few tokens a second.
+    """An idle upstream reports few tokens per second.
 
-    Taken as its speed, this would send a burst to the upstreams that are busy.
+    Used as its speed, that rate would send a burst to the busy upstreams instead.
     """
     load = UpstreamLoad()
     for _ in range(30):
@@ -108,10 +108,10 @@
 
 @pytest.mark.parametrize("rate", [0.0, 20.0])
 def test_low_rate_expires_while_the_upstream_is_idle(rate):
-    """A sidecar reports no rate yet, or one that was low once, and then idles.
+    """A sidecar reports no rate yet, or reported a low one once, and is idle since.
 
-    Its expected completion would stay minutes away, nobody would send it anything,
-    and its peers' callers would queue beside an idle upstream (play, pattern flood).
+    With the low rate, its expected completion stays minutes away, no entry sends it a
+    request, and callers queue at its peers (simulation, pattern flood).
     """
     load = UpstreamLoad()
     for _ in range(40):
@@ -124,10 +124,10 @@
 
 
 def test_unknown_rate_defaults_to_the_fastest_peer():
-    """One upstream was busy and showed its speed, its peer never had to.
+    """One upstream has a known rate, its peer was never busy and has none.
 
-    Guessed slower than the busy one, the peer would get less than half of the work
-    while the other queues (play, pattern flood).
+    With a default rate below that of the busy upstream, the peer would get less than
+    half of the requests while the other has a queue (simulation, pattern flood).
     """
     busy = replace(IDLE, pending=1500.0, rate=2500.0)
     assert shares([busy, replace(IDLE, upstream="u2", pending=900.0)])["u2"] == 1.0
@@ -137,7 +137,7 @@
 
 
 def run_latency(detector, factors, copies=COPIES, start=0.0, seconds=5, gap_s=0.03):
-    """Feed latencies; ``slow`` maps upstreams to their factor."""
+    """Feed latencies, scaled by upstream; return the copies with reduced traffic."""
     for tick in range(int(seconds * 10)):
         now = start + tick / 10
         for model, peers in copies.items():
@@ -169,26 +169,26 @@
     ],
 )
 def test_slow_upstreams_are_ejected(factors, copies, ejected):
-    """One upstream slows down, or all do under load, or the only copy does.
+    """One upstream, all upstreams under load, or the only copy of a model is slow.
 
-    Without ejection callers wait at the slow one; with too much of it the rest drown
-    or a model has no copy left.
+    Without ejection, callers wait at the slow upstream. Too many ejections overload
+    the others or leave a model without a copy.
     """
     assert run_latency(OutlierDetector(), factors, copies) == ejected
 
 
 def test_busy_upstream_with_idle_peers_is_not_ejected():
-    """One upstream has most of the load and its peers idle at a fifth of its latency.
+    """One upstream has most of the load, and its idle peers a fifth of its latency.
 
-    Ejecting it would send a popular model's callers to the upstream that is next
-    busiest, and so on, until most of the fleet stands idle.
+    Ejecting the busy upstream would shift a popular model's callers to the next
+    busiest, and so on, until most of the fleet is idle.
     """
     detector = OutlierDetector()
     assert run_latency(detector, {"u1": 5.0}, gap_s=0.009) == []
 
 
 def test_failing_upstream_is_ejected_and_ramps_up_again():
-    """An upstream fails every call for a while, then is well again."""
+    """An upstream fails every request for a time and then recovers."""
     detector = OutlierDetector()
     run_latency(detector, {}, seconds=1)
     for _ in range(5):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: reachable models first, few moves, never the last copy."""
+"""Placement: reachable models first, few moves, no unload of the last copy."""
 
 from dataclasses import replace
 
@@ -30,18 +30,18 @@
 
 
 def run_until_stable(fleet, needs, rounds=30):
-    """Plan and carry out until nothing changes; check each unload on the way."""
+    """Plan and apply moves until none is left; check that no last copy is unloaded."""
     for _ in range(rounds):
         moves = plan(needs, fleet.sites(needs), SPEED)
         for move in moves:
             if not move.is_load and move.reason is not Reason.RETIRED:
                 serving = len(fleet.serving(move.model))
-                assert serving > 1, f"{move} takes the last copy"
+                assert serving > 1, f"{move} unloads the last copy"
         fleet.apply(moves, needs)
         fleet.now += 2.0
         if not moves:
             return
-    raise AssertionError("placement does not come to rest")
+    raise AssertionError("placement does not become stable")
 
 
 def test_every_model_and_adapter_is_placed():
@@ -76,9 +76,9 @@
 
 
 def test_models_of_a_dead_upstream_are_loaded_first():
-    """An upstream dies with the only copy of a model, while others want more copies.
+    """An upstream with the only copy of a model fails while others need more copies.
 
-    Callers of that model get nothing until it is loaded again, so it goes first.
+    Callers of that model are refused until it is loaded again, so it is loaded first.
     """
     needs = needs_of(need("a", wanted=1), need("b", wanted=3, demand=900.0))
     fleet = fleet_of(3)
@@ -93,9 +93,9 @@
 
 
 def test_a_draining_upstream_keeps_its_last_copies_until_they_serve_elsewhere():
-    """An upstream is about to leave and holds the only copy of a model.
+    """A draining upstream has the only copy of a model.
 
-    The copy goes on serving there until another one serves.
+    The copy keeps serving until another copy serves elsewhere.
     """
     needs = needs_of(need("a"))
     fleet = fleet_of(2)
@@ -107,9 +107,9 @@
 
 
 def test_fragmented_memory_is_compacted_for_an_unreachable_model():
-    """Two upstreams have half of the memory free that a new model needs.
+    """Each of two upstreams has half of the memory free that a new model needs.
 
-    Without moving a sole copy the model could never be loaded.
+    Without relocating a sole copy, the model could never be loaded.
     """
     needs = needs_of(need("a", 50.0), need("b", 50.0))
     fleet = fleet_of(2)
@@ -130,10 +130,9 @@
 
 @pytest.mark.parametrize(("upstreams", "wanted"), [(2, 1), (3, 2), (4, 3)])
 def test_a_new_revision_serves_before_the_old_one_is_unloaded(upstreams, wanted):
-    """Operators change a model's revision while callers use it, with room for one
-    copy more.
+    """A model in use gets a new revision, with memory for one more copy.
 
-    There is no moment in which fewer copies serve than are wanted.
+    At no time do fewer copies serve than are wanted.
     """
     fleet = fleet_of(upstreams, capacity=50.0)
     run_until_stable(fleet, needs_of(need("a", wanted=wanted)))
@@ -155,9 +154,9 @@
     ],
 )
 def test_models_do_not_evict_each_other_in_a_cycle(changed):
-    """All memory is taken, and two models want what only one can have.
+    """All memory is in use, and two models want a copy where only one fits.
 
-    If each took the other's copy in turn, both would be loaded without end.
+    If each evicted the other's copy in turn, both would be loaded without end.
     """
     fleet = fleet_of(3, capacity=40.0)
     run_until_stable(fleet, needs_of(need("a"), need("b", wanted=2)))
@@ -167,10 +166,10 @@
 
 
 def test_pending_memory_prevents_further_evictions():
-    """A copy was unloaded for a new model, and its memory is held until no order
-    for it can arrive any more.
+    """A copy was unloaded for a new model, but its memory is not free yet.
 
-    Planned anew each round, another copy would go for the same model each time.
+    The memory stays reserved until no delayed order can arrive for it. A planner that
+    ignored this would evict another copy for the same model in each round.
     """
     needs = needs_of(need("a", wanted=1), need("b", wanted=1), need("c"))
     fleet = fleet_of(4, capacity=40.0)
@@ -186,10 +185,9 @@
 
 
 def test_a_stale_revision_is_unloaded_for_a_spare():
-    """All memory is taken, and a model has one copy of each revision and wants a
-    spare.
+    """All memory is in use; a model has a copy of each revision and wants a spare.
 
-    The old copy goes, though no second new one has room beside it.
+    The stale copy is unloaded, although a second new copy does not fit in addition.
     """
     fleet = fleet_of(2, capacity=40.0)
     run_until_stable(fleet, needs_of(need("a")))
@@ -202,9 +200,9 @@
 
 
 def test_a_model_without_room_is_reported():
-    """All memory is taken by sole copies, and operators add one more model.
+    """All memory is in use by sole copies when operators add another model.
 
-    Nothing may go for it, so the operators are told which model waits.
+    No copy may be evicted for the new model, so the plan reports it as unplaced.
     """
     needs = needs_of(need("a", 80.0), need("b", 80.0))
     fleet = fleet_of(2)
@@ -274,9 +272,9 @@
     ],
 )
 def test_loads_are_paced_to_the_weight_store(rate, in_progress, started):
-    """A zone is lost and every model on it is wanted at once.
+    """A zone is lost, and all its models have to be loaded at once.
 
-    More loads than the store carries slow each other down, the urgent ones too.
+    Loads beyond the rate of the weight store slow each other down, urgent ones too.
     """
     pacer = LoadPacer(rate, 2, 3)
     adapters = frozenset(Model(f"x{i}") for i in range(9))
