--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -1,4 +1,4 @@
-"""A gateway before upstreams of our own, all on loopback."""
+"""A gateway in front of fake upstreams, all on loopback."""
 
 import http.client
 import socket
@@ -48,18 +48,18 @@
 
 
 def answer(status=200, body=b"done", head=SIGNATURE):
-    """Return a whole answer as bytes."""
+    """Return an HTTP answer as bytes."""
     lines = f"HTTP/1.1 {status} X\r\n{head}Content-Length: {len(body)}\r\n\r\n"
     return lines.encode() + body
 
 
 def chunk(data):
-    """Return one chunk of a body."""
+    """Return data as one HTTP chunk."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def event(number, text="t"):
-    """Return one event of a stream as a chunk."""
+    """Return an event of a stream as one HTTP chunk."""
     return chunk(f"id: {number}\ndata: {text}{number}\n\n".encode())
 
 
@@ -72,7 +72,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as an upstream got it."""
+    """A request as received by an upstream."""
 
     line: str
     headers: dict
@@ -80,7 +80,7 @@
 
 
 class FakeUpstream:
-    """Answers each request by ``script``, which gets the request and the socket."""
+    """Answers each request by calling ``script`` with the request and the socket."""
 
     def __init__(self, name, script, service=LEDGER):
         self.received = []
@@ -107,7 +107,7 @@
         self._listener.close()
 
     def stop_listening(self):
-        """Take no more connections; a close alone leaves a waiting accept open."""
+        """Stop accepting connections; close() alone would not wake a blocked accept."""
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
@@ -147,7 +147,7 @@
 
 
 def sends(*parts, keep_alive=True):
-    """Return a script that sends parts to every request."""
+    """Return a script that sends the same parts for every request."""
 
     def script(_req, sock):
         for part in parts:
@@ -158,7 +158,7 @@
 
 
 def resets(first=b""):
-    """Return a script that sends something and breaks the connection off."""
+    """Return a script that sends some bytes and resets the connection."""
 
     def script(_req, sock):
         sock.sendall(first)
@@ -212,12 +212,12 @@
 
 
 def no_limits():
-    """Return limits of an entry that no upstream has told of one."""
+    """Return limits of an entry whose upstreams state none."""
     return UpstreamLimits(lambda _ask: None, lambda: 1)
 
 
 def sole_entry_limits():
-    """Return limits of an entry that gives out the places by itself."""
+    """Return limits of an entry that grants its own limit requests."""
     limits = UpstreamLimits(
         lambda ask: limits.hear_grant(limits.grant(Vm("e1"), ask)), lambda: 1
     )
@@ -226,7 +226,7 @@
 
 @dataclass
 class Reply:
-    """An answer as a caller sees it."""
+    """An answer as received by a caller."""
 
     status: int
     headers: dict
@@ -235,7 +235,7 @@
 
 
 class GatewayServer:
-    """An entry's gateway behind its web server."""
+    """A gateway behind the web server of an entry."""
 
     def __init__(self, *upstreams, cfg=None, refusal=None):
         cfg = cfg or config()
@@ -254,7 +254,7 @@
         self.dispatcher.update([upstream.record for upstream in upstreams])
         self._stopping = threading.Event()
         self.crash_update = None
-        """What this entry told others last of crashes."""
+        """The last crash update of this entry for its peers."""
         threading.Thread(target=self._tick, daemon=True).start()
         self.watchdog = Watchdog()
         self.watchdog.start()
@@ -289,7 +289,7 @@
             upstream.close()
 
     def open(self, path, method="POST", body=b"hello", key="k1", **headers):
-        """Send a request; return its connection."""
+        """Send a request; return the connection."""
         conn = http.client.HTTPConnection("127.0.0.1", self.server.port, timeout=10)
         fields = {
             "Host": "a.example",
@@ -306,7 +306,7 @@
         return conn
 
     def call(self, path, **options):
-        """Send a request; return its answer."""
+        """Send a request; return the answer."""
         conn = self.open(path, **options)
         response = conn.getresponse()
         try:
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls that wait for an upstream."""
+"""Requests that wait for an upstream slot."""
 
 import threading
 import time
@@ -58,7 +58,7 @@
 
 
 class WaitingRequest:
-    """A call that waits on a thread of its own."""
+    """A request that waits on its own thread."""
 
     def __init__(self, dispatcher, dispatch_request):
         self.result = None
@@ -69,7 +69,7 @@
         self._thread.start()
         wait_for(
             lambda: len(dispatcher._waiters) > before or not self._thread.is_alive(),
-            "the call to wait",
+            "the request to wait",
         )
 
     def _run(self, dispatcher, dispatch_request):
@@ -81,9 +81,9 @@
 
 
 def test_waiting_requests_are_refused_at_shutdown():
-    """An entry is told to stop while calls wait in it for a model that is on no engine.
-    Kept to the end of the entry's time they get no answer at all; refused at once they
-    find their place at another entry.
+    """An entry stops while requests wait for a model that no engine has loaded. If held
+    up to the stop limit, they get no answer; refused at once, they can be sent to
+    another entry.
     """
     dispatcher = make_dispatcher(record(models=()))
     waiting = WaitingRequest(dispatcher, request())
@@ -105,7 +105,7 @@
 
 
 def test_a_draining_upstream_gets_no_requests():
-    """An upstream says that it is draining while calls go to it."""
+    """An upstream starts draining while requests are sent to it."""
     dispatcher = make_dispatcher(record("e1"), record("e2"))
     dispatcher.update([record("e1", draining=True), record("e2")])
     for _ in range(2):
@@ -113,8 +113,8 @@
 
 
 def test_the_only_engine_with_a_model_is_used_despite_failures():
-    """One engine alone holds a model, and some of its answers fail. Kept from work for
-    that, every caller of the model is refused, where most would have been served.
+    """A single engine has a model loaded, and some of its answers fail. Without traffic
+    to this engine, every request for the model is refused, though most would succeed.
     """
     other = Model("other")
     dispatcher = make_dispatcher(
@@ -133,8 +133,8 @@
 
 
 def test_state_of_removed_upstreams_is_dropped():
-    """Upstreams are replaced day and night, each under a new name. An entry that keeps
-    something of each grows until it is ended for its memory, with all of its calls.
+    """Upstreams are replaced continuously, each under a new name. An entry that retains
+    state of each grows until it is killed for its memory use, with all its requests.
     """
     dispatcher = make_dispatcher(record("e0"))
     for number in range(50):
@@ -150,7 +150,7 @@
         dispatcher.tick()
         return not dispatcher._requested
 
-    wait_for(dropped, "what was asked for to be forgotten")
+    wait_for(dropped, "load requests to expire")
 
 
 @pytest.mark.parametrize(
@@ -164,9 +164,9 @@
     ],
 )
 def test_read_rate_uses_samples_without_concurrent_prompts(samples, minimum, maximum):
-    """Demand counts in parts of what an engine reads. By the rate of other machines,
-    or by one that others' prompts made slow, copies are loaded that nobody needs; by
-    one that counts prompts which were long read, busy models get too few.
+    """Demand is measured in fractions of the prompt tokens per second of an engine. If
+    this rate is a default or is lowered by concurrent prompts, unneeded copies are
+    loaded; if it counts prompts processed earlier, busy models get too few copies.
     """
     table = UpstreamTable()
     table.update([record("e1")])
--- a/tests/test_direct_gateway.py
+++ b/tests/test_direct_gateway.py
@@ -1,4 +1,4 @@
-"""One request through an entry that calls upstreams directly."""
+"""Single requests through an entry that calls upstreams directly."""
 
 import json
 import time
@@ -60,7 +60,7 @@
 
 
 def test_refusal_for_unreachable_upstreams_has_retry_after():
-    """Guards against callers of a service that is gone who come back at once."""
+    """Guards against immediate retries by callers of an unreachable service."""
     upstreams = [FakeUpstream(f"u{n}", sends(answer())) for n in range(2)]
     with GatewayServer(*upstreams) as gateway:
         for upstream in upstreams:
@@ -71,9 +71,9 @@
 
 
 def test_expired_request_is_refused_and_not_sent():
-    """A call has waited for a place up to the last moment of its time and gets one. No
-    connection can be opened in no time; its caller was told that the entry had failed
-    and that the call may have run, so a booking was not made again.
+    """A request gets a slot only at its deadline, too late to open a connection. The
+    answer was an internal error with the verdict may_have_run, so that the caller did
+    not repeat a booking.
     """
     upstream = FakeUpstream("u1", sends(answer()))
     with GatewayServer(upstream) as gateway:
@@ -85,8 +85,8 @@
 
 
 def test_early_refusal_carries_the_request_id():
-    """An entry has no thread left, or is about to stop, and refuses requests before it
-    looks at them. A caller complains with the id that it sent, and no line has it.
+    """An entry without a free thread, or about to stop, refuses requests before
+    admission. Without the request id in the log, the refusal can't be found.
     """
     lines = []
     full = Failure(ErrorCode.OVERLOADED, "no thread is left", retry_after=0.5)
@@ -103,7 +103,7 @@
 
 
 def test_request_refused_by_one_upstream_is_sent_to_another():
-    """One upstream is full and says that it has not run the request."""
+    """One upstream is full and answers that the request was not executed."""
     full = FakeUpstream("u1", sends(answer(503, b"", NOT_RUN)))
     free = FakeUpstream("u2", sends(answer()))
     with GatewayServer(full, free) as gateway:
@@ -124,9 +124,9 @@
     ],
 )
 def test_non_idempotent_request_is_sent_once(script):
-    """The upstream takes a booking and its answer is lost, cut, or not its own. The
-    booking may have been made; sent again it would be made twice, and a promise that
-    it has not run would be false.
+    """An upstream receives a booking, and its answer is lost, truncated or belongs to
+    another request. The booking may have been executed: a retry would execute it twice,
+    and the verdict not_run would be false.
     """
     first, second = FakeUpstream("u1", script), FakeUpstream("u2", script)
     with GatewayServer(first, second) as gateway:
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("script", [resets(), sends(answer()[:-2], keep_alive=False)])
 def test_idempotent_request_is_retried(script):
-    """A look-up meets an upstream that crashes amid its answer."""
+    """The upstream of a read request crashes while it answers."""
     bad, good = FakeUpstream("u1", script), FakeUpstream("u2", sends(answer()))
     with GatewayServer(bad, good) as gateway:
         replies = [gateway.call("/read/x", method="GET", body=b"") for _ in range(4)]
@@ -153,8 +153,8 @@
 
 
 def test_surplus_answer_is_discarded():
-    """An upstream sends two answers to one request. The second waits on the kept
-    connection, and the next caller would get it for its own.
+    """An upstream sends two answers to one request. The second stays unread on the
+    pooled connection, and the next caller would receive it.
     """
     upstream = FakeUpstream("u1", sends(answer(200, b"first") + answer(200, b"again")))
     with GatewayServer(upstream) as gateway:
@@ -163,7 +163,7 @@
 
 
 def test_route_timeout_ends_a_request():
-    """An upstream never answers; the route gives its callers a third of a second."""
+    """An upstream never answers; the timeout of the route is 0.3 s."""
     upstream = FakeUpstream("u1", lambda _req, _sock: upstream.disconnected.wait(5))
     with GatewayServer(upstream) as gateway:
         started_at = time.monotonic()
@@ -174,8 +174,8 @@
 
 
 def test_upstream_connection_closes_when_the_caller_leaves():
-    """A caller closes its connection while an engine works for it. An engine that does
-    not hear of it goes on, and others wait for the place.
+    """A caller disconnects while an engine processes its request. Unless the upstream
+    connection closes, the engine continues, and its slot stays occupied.
     """
     sent = []
 
@@ -197,7 +197,7 @@
 
 
 def test_idle_upstream_connection_closes_when_the_caller_leaves():
-    """The same while the engine has sent nothing yet: the entry waits in a read."""
+    """As above, before the first byte of the answer: the entry is blocked in a read."""
     upstream = FakeUpstream("u1", lambda _req, sock: sock.recv(1) and False, LLM)
     with GatewayServer(upstream) as gateway:
         conn = gateway.open("/chat/x")
@@ -220,8 +220,8 @@
 
 
 def test_truncated_stream_does_not_look_complete():
-    """An engine crashes in the middle of an event. The half event must not reach the
-    caller, and the answer must not end as if it were complete.
+    """An engine crashes within an event. The caller must not receive the partial event,
+    and the answer must not end as if it were complete.
     """
     upstream = FakeUpstream("u1", resets(STREAM_HEAD + event(1) + event(2)[:9]), LLM)
     with GatewayServer(upstream) as gateway:
@@ -232,8 +232,8 @@
 
 
 def test_stream_is_resumed_on_a_resumable_route():
-    """The same on a route whose streams may be resumed: the caller sees one stream,
-    with each event once.
+    """As above, on a route with resumable streams: the caller receives one stream that
+    contains each event once.
     """
 
     def engine(req, sock):
@@ -253,7 +253,7 @@
 
 
 def test_short_stream_keeps_the_caller_connection_open():
-    """The caller's next request goes on the same connection."""
+    """The caller can send the next request on the same connection."""
     upstream = FakeUpstream("u1", sends(STREAM_HEAD, event(1), LAST_CHUNK), LLM)
     with GatewayServer(upstream) as gateway:
         conn = gateway.open("/chat/x")
@@ -272,7 +272,7 @@
 
 
 def test_tokens_of_unexecuted_requests_are_refunded():
-    """Every upstream refuses; the account has its tokens for the next try."""
+    """All upstreams refuse; the account keeps its tokens for the next request."""
     full = FakeUpstream("u1", sends(answer(503, b"", NOT_RUN)))
     with GatewayServer(full, cfg=config(rate=1.0, burst=150.0)) as gateway:
         statuses = [gateway.call("/book/x").status for _ in range(3)]
@@ -289,8 +289,8 @@
 
 
 def test_refusal_after_a_lost_answer_is_not_reported_as_not_run():
-    """The first upstream's answer to a look-up is lost, the second is full. The look-up
-    may have run at the first, whatever the second says.
+    """The first upstream's answer to a read request is lost, the second upstream is
+    full. The first may have executed the request, whatever the second answers.
     """
     lost = FakeUpstream("u1", resets())
     full = FakeUpstream("u2", sends(answer(503, b"", NOT_RUN)))
--- a/tests/test_forward_verdict.py
+++ b/tests/test_forward_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a request that was tried more than once."""
+"""The verdict of a request with several attempts."""
 
 from types import SimpleNamespace
 
@@ -25,9 +25,8 @@
     ],
 )
 def test_not_run_holds_for_all_attempts(monkeypatch, attempts, verdict):
-    """An upstream is lost while it works on a repeatable call, and the next one
-    refuses it. The caller is told that nothing ran, and the upstream's own count
-    says otherwise.
+    """An upstream is lost while it processes a repeatable request, and the next one
+    refuses the request. The verdict was not_run, though the first had executed it.
     """
     remaining = list(attempts)
     conns = [SimpleNamespace(info=SimpleNamespace(upstream=str(n))) for n in range(9)]
