--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -84,10 +84,8 @@
         """Return the MB to reserve for adapters: all slots at the largest size."""
         if self.inventory is None:
             return 0.0
-        largest = max(
-            (m.adapter_memory for m in self.spec.models.values()), default=0.0
-        )
-        return largest * self.spec.adapter_slots
+        size = max((m.adapter_memory for m in self.spec.models.values()), default=0.0)
+        return size * self.spec.adapter_slots
 
     def _model_spec(self, name: Model) -> ModelSpec:
         spec = self.spec.models.get(name)
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -383,11 +383,9 @@
         views: list[EngineView],
         now: float,
     ) -> None:
-        requested_at = {
-            m: at for m, at in self._requested_at.items() if m in spec.models
-        }
+        requests = {m: at for m, at in self._requested_at.items() if m in spec.models}
         resident = frozenset().union(*(view.models for view in views))
-        for change in missing.update(requested_at, resident, now):
+        for change in missing.update(requests, resident, now):
             if change.now is Standing.MISSING:
                 log("model_missing", model=change.model)
                 continue
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -143,8 +143,8 @@
             self._request_limit, lambda: len(self.peers) + 1, changed=self._tick_due.set
         )
         self.blocked_calls = BlockedCalls(store, self.poison, self.overlay.place)
-        self.conns = ConnectionPool()
-        self.crash_checks = CrashChecks(self.poison, self.conns)
+        self.connection_pool = ConnectionPool()
+        self.crash_checks = CrashChecks(self.poison, self.connection_pool)
         self.dispatcher = Dispatcher(
             Zone(cfg.zone), self._request_load, self.poison, self.limits
         )
@@ -219,7 +219,7 @@
             lambda: self.active_config,
             self.quota,
             self.dispatcher,
-            Exchange(self.conns, read_reply),
+            Exchange(self.connection_pool, read_reply),
             self.watchdog,
             self.metrics,
             self.poison,
@@ -229,7 +229,7 @@
         status = StatusApp(self._is_ready, self.metrics)
         host, port = cfg.callers[0]
         self.server = WebServer(callers, host, port, cfg.threads, keep_streams=True)
-        self.status = [
+        self.status_servers = [
             WebServer(status, *address, STATUS_THREADS)
             for address in (cfg.ready[0], cfg.metrics[0])
         ]
@@ -248,10 +248,10 @@
         return connections_refusal(len(self.watchdog), self.cfg.threads)
 
     def _is_ready(self) -> bool:
-        needed = self.watchers[Kind.FLEET], self.watchers[Kind.UPSTREAM]
-        listed = all(watcher.ready.is_set() for watcher in needed)
+        required = self.watchers[Kind.FLEET], self.watchers[Kind.UPSTREAM]
+        synced = all(watcher.ready.is_set() for watcher in required)
         return (
-            listed and self.active_config.cfg.version > 0 and not self.draining.is_set()
+            synced and self.active_config.cfg.version > 0 and not self.draining.is_set()
         )
 
     # -- updates ---------------------------------------------------------------------
@@ -373,7 +373,7 @@
         self.crash_checks.start()
         self.blocked_calls.start()
         self.leader.start()
-        for server in (self.server, *self.status):
+        for server in (self.server, *self.status_servers):
             server.start()
         host, _ = self.cfg.link[0]
         bound = (host, self.mesh.port)
--- a/tests/test_direct_engine_controller.py
+++ b/tests/test_direct_engine_controller.py
@@ -82,8 +82,8 @@
     controller.refresh()
     started_at = clock()
     controller.load_model(SMALL, (BIG,), 1.7)
-    serves_at = next(at for at, models in published if "small" in models)
-    assert serves_at - started_at < 1.7 + 0.1
+    resident_at = next(at for at, models in published if "small" in models)
+    assert resident_at - started_at < 1.7 + 0.1
 
 
 def test_cold_load_completes_when_the_report_shows_it():
@@ -97,8 +97,8 @@
     engine.load_time = 12.0
     started_at = clock()
     controller.load_model(SMALL, (BIG,), 8.0)
-    serves_at = next(at for at, models in published if "small" in models)
-    assert serves_at - started_at > 12.0
+    resident_at = next(at for at, models in published if "small" in models)
+    assert resident_at - started_at > 12.0
 
 
 def test_unreported_request_delays_the_load():
