--- a/src/persimmonhitch/decide/copy_count.py
+++ b/src/persimmonhitch/decide/copy_count.py
@@ -64,11 +64,11 @@
         """Return the wanted copies if an upstream serves ``rate`` tokens per second."""
         spare = 1 if demand >= SPARE_LOAD * rate else 0
         self.floor = copies_for(demand, rate * TARGET_LOAD)
-        kept = copies_for(demand, rate * REMOVAL_LOAD) + spare
+        retained = copies_for(demand, rate * REMOVAL_LOAD) + spare
         if self.floor + spare >= self.wanted:
             self.wanted = self.floor + spare
             self._changed_at = now
-        elif kept < self.wanted and now - self._changed_at >= REMOVAL_WAIT_S:
+        elif retained < self.wanted and now - self._changed_at >= REMOVAL_WAIT_S:
             self.wanted -= 1
             self._changed_at = now
         return self.wanted
