--- a/src/persimmonhitch/decide/admission.py
+++ b/src/persimmonhitch/decide/admission.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class LoadView:
-    """Load of one upstream, as known where admission is decided.
+    """Load of one upstream, as seen by admission control.
 
     Attributes
     ----------
--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -79,7 +79,7 @@
     Parameters
     ----------
     targets : LatencyTargets
-        Latencies to keep.
+        Latencies to stay within.
     bounds : LimitRange
         Bounds and step sizes.
     """
--- a/src/persimmonhitch/decide/copy_count.py
+++ b/src/persimmonhitch/decide/copy_count.py
@@ -13,8 +13,8 @@
 are planned for ``TARGET_LOAD`` (0.7), so that one more burst still meets the
 latency target for the first token. A copy is removed only if the others would stay
 below ``REMOVAL_LOAD`` (0.5), one at a time and ``REMOVAL_WAIT_S`` (120 s) apart. A
-model that fills ``SPARE_LOAD`` (0.3) of an upstream gets one spare copy, since the
-loss of its only copy would turn many callers away for the duration of a load.
+model that fills ``SPARE_LOAD`` (0.3) of an upstream gets one spare copy, since after
+the loss of its only copy many callers would be refused for the duration of a load.
 docs/notes/placement.md compares these thresholds with a count that follows the demand.
 """
 
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -1,8 +1,9 @@
 """Weighted fair queue in front of one upstream, shared by client accounts.
 
 Load pattern: one account sends several times its rate, or a few huge prompts, to an
-upstream that others use too. A first-come, first-served queue puts its backlog ahead
-of all other requests; in this queue each account waits only behind its own requests.
+upstream that other accounts use too. A first-come, first-served queue would serve its
+backlog before all other requests; in this queue each account waits only behind its own
+requests.
 
 Each account has a virtual counter of tokens served, divided by its weight, and the
 account with the lowest counter is served next. The counter of an account that returns
@@ -25,11 +26,12 @@
 URGENT_FRACTION: Final = 0.25
 """Last part of a batch request's allowed time, when it competes as interactive."""
 FIRST_TOKEN_MARGIN_S: Final = 0.2
-"""Part of the first-token target that the upstream itself takes, in seconds."""
+"""Part of the first-token target that the upstream itself uses, in seconds."""
 MAX_LEAD_TOKENS: Final = 1500.0
 """Tokens by which an account may exceed its share to be served out of turn.
 
-Applies to a request that can still meet the first-token target when others can't.
+Applies to an account with a request that can still meet the first-token target, when
+all accounts with a lower counter have only late requests.
 """
 MIN_WEIGHT: Final = 1e-3
 FIRST_TOKEN_TARGET_S: Final = 0.75
@@ -111,7 +113,7 @@
 
         The account with the lowest counter is served, unless all its requests have
         missed the first-token target while another account, ahead by no more than
-        ``MAX_LEAD_TOKENS``, has a request that can still meet it.
+        ``MAX_LEAD_TOKENS``, has a request that can still meet the target.
         """
         nonempty = [queue for queue in self._queues.values() if queue.items]
         if not nonempty:
@@ -293,8 +295,8 @@
 def _service_order(item: QueuedRequest, now: float) -> tuple[bool, float]:
     """Return the sort key of a request within its account.
 
-    Requests that can still meet the first-token target come first, by arrival; the
-    others follow by deadline. Serving a late request first would only make both late.
+    Requests that can still meet the first-token target come first, by arrival; late
+    requests follow by deadline. Serving a late request first would make both late.
     """
     late = item.is_late(now)
     return late, item.deadline_at if late else item.arrived_at
--- a/src/persimmonhitch/decide/retries.py
+++ b/src/persimmonhitch/decide/retries.py
@@ -2,8 +2,9 @@
 
 Load pattern: an upstream fails under load. If each request were retried, a fleet at its
 limit would get twice the load when it can serve least, and would stay overloaded after
-the cause is gone. Retries are limited to a tenth of the requests, which covers the loss
-of one upstream in ten. ``MIN_RETRIES_PER_S`` lets an entry with few requests retry.
+the failure has ended. Retries are limited to a tenth of the requests, which covers the
+loss of one upstream in ten. ``MIN_RETRIES_PER_S`` allows retries to an entry with few
+requests.
 """
 
 from typing import Final
--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -4,8 +4,8 @@
 its requests to the least loaded upstream of the last report, all would choose the same
 one until the next report and overload it while its peers idle. The expected completion
 therefore counts the entry's own in-flight requests, which are known without delay, and
-uses the report only for the load from others. It is compared among two random
-candidates, so that entries with the same view choose differently.
+uses the report only for the load from other entries. Only a few random candidates are
+compared, so that entries with the same view choose differently.
 
 A cached prefix or a loaded adapter saves time, which the expected completion includes.
 Cache hints are delayed and may be wrong, so only ``HINT_WEIGHT`` of a hint counts. They
@@ -29,7 +29,7 @@
 ADAPTER_LOAD_S: Final = 0.1
 """Seconds that an engine takes to load an adapter."""
 SAMPLE_SIZE: Final = 2
-"""Random candidates drawn from the own zone, and from all other zones."""
+"""Random candidates drawn from the entry's own zone, and from all other zones."""
 DEFAULT_RATE: Final = 1000.0
 """Tokens per second assumed while no candidate has a known rate."""
 EWMA_WEIGHT: Final = 0.3
@@ -47,8 +47,8 @@
     Attributes
     ----------
     pending : float
-        Tokens ahead of a new request: in flight from this entry, and from others
-        as reported.
+        Tokens ahead of a new request: in flight from this entry, and reported for
+        other entries.
     rate : float
         Tokens per second that the upstream serves when busy, 0 if unknown.
     share : float
@@ -80,7 +80,7 @@
 class UpstreamLoad:
     """Load of one upstream, as seen by one entry.
 
-    Counts the entry's own requests without delay, and the load from others by report.
+    Counts the entry's own requests without delay, and other entries' load by report.
     ``rate`` is the tokens per second that the upstream serves when busy, 0 if unknown.
     """
 
@@ -128,7 +128,7 @@
 
 
 def queue_delay(candidate: Candidate) -> float:
-    """Return the seconds that the pending tokens take."""
+    """Return the seconds until the pending tokens are served."""
     return candidate.pending / candidate.rate
 
 
--- a/src/persimmonhitch/decide/warmup.py
+++ b/src/persimmonhitch/decide/warmup.py
@@ -1,7 +1,7 @@
 """Gradual shift of traffic to a new or returning copy.
 
 Load pattern: a copy starts to serve while its model is busy. It has the least load, so
-every entry would send it all requests at once; its prefix cache is cold, and callers
+every entry would send all its requests there; its prefix cache is cold, and callers
 would get slow first tokens from the very copy that was added to help. Its share of the
 traffic rises linearly over ``WARMUP_S``, the time in which a cache that serves one
 request per second has seen the common prefixes.
