--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -37,19 +37,18 @@
 MAX_ATTEMPTS: Final = 3
 """Attempts per order; the engine's report is read before each retry."""
 CONFLICT_RETRY_S: Final = 0.05
-"""Seconds between two attempts of a load that waits for an unload to complete."""
+"""Seconds between two attempts of a load order that an unfinished unload blocks."""
 MAX_CONFLICT_ATTEMPTS: Final = 5
 LOAD_MARGIN_S: Final = 0.03
-"""Seconds added to the expected time of a load from memory or disk, after which it
-counts as complete. The report confirms it some hundred ms later, and requests would
-wait for that."""
+"""Seconds added to the expected time of a load from memory or disk before the model is
+published as resident; requests would have to wait some hundred ms for a report."""
 ADAPTER_WINDOW_S: Final = 0.5
-"""Seconds after a model load in which the engine starts no other one. An engine accepts
-no adapter orders during a model load, so consecutive loads would have all requests for
-its missing adapters refused throughout."""
+"""Minimum seconds between two model loads of an engine. An engine accepts no adapter
+orders during a model load; without a pause, consecutive loads would cause refusals of
+all requests for adapters that are not loaded."""
 UNLOAD_DELAY_S: Final = 0.03
-"""Seconds between the publication of an eviction and the unload order; requests already
-sent to that model would be refused."""
+"""Seconds between the broadcast of an eviction and the unload order; the engine would
+refuse requests for the model that are already in transit."""
 
 Clock = Callable[[], float]
 
@@ -63,7 +62,7 @@
     inventory: Holding | None = None
     adapter_used_at: dict[tuple[Model, Adapter], float] = field(default_factory=dict)
     unloading: set[tuple[Model, Adapter]] = field(default_factory=set)
-    """Adapters with an unload order in progress; they occupy their slots until then."""
+    """Adapters with an unload in progress; each occupies its slot until completion."""
     loaded_at: dict[Model, float] = field(default_factory=dict)
     loading: Model | None = None
     ready_at: float = 0.0
@@ -89,12 +88,13 @@
 
     def _model_spec(self, name: Model) -> ModelSpec:
         spec = self.spec.models.get(name)
-        # A model that was removed from the configuration still uses memory.
+        # A model that was removed from the configuration still uses memory. Its size is
+        # unknown, so it counts as the engine's whole memory.
         return spec or ModelSpec(name, self.spec.memory, 0, 0, 0, 0, 0)
 
 
 class EngineController:
-    """Sends orders to one engine, one at a time, each with a precondition.
+    """Sends orders to a single engine, one after the other, each with a precondition.
 
     Every order carries the number of orders that the engine must have executed before
     it. If another order came in between, or an earlier one arrived late, the engine
@@ -120,7 +120,7 @@
         self._clock = clock
         self._sleep = sleep
         self.orders_allowed_at = 0.0
-        """No orders before this time: one of another entry may be too recent."""
+        """No orders before this time: another entry's last order may be too recent."""
         self.loads_allowed_at = 0.0
         """No model loads before this time, so that adapters can be loaded."""
         self.last_order_at: float | None = None
--- a/src/persimmonhitch/direct/handover.py
+++ b/src/persimmonhitch/direct/handover.py
@@ -41,7 +41,7 @@
             self._last_orders[upstream] = _LastOrder(vm, order_count, self._clock())
 
     def record_release(self, vm: Vm, ages: Mapping[Upstream, float]) -> None:
-        """Record that ``vm`` sends no more orders, and the seconds since its last."""
+        """Record that ``vm`` has released the lease, with ages of its last orders."""
         now = self._clock()
         self._released.add(vm)
         for upstream, age in ages.items():
@@ -63,8 +63,8 @@
         predecessor : Predecessor or None
             Previous holder of the lease, if any.
         ended : bool
-            Whether the predecessor's process is known to have ended. If not, and it did
-            not release the lease, it may have sent orders until the lease expired.
+            Whether the predecessor's process is known to have ended. Otherwise, unless
+            it released the lease, it may have sent orders until the lease expired.
         """
         if predecessor is None:
             return leading_since
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -42,13 +42,13 @@
 ROUND_INTERVAL_S: Final = 0.1
 """Seconds between two placement rounds without a load request."""
 MIN_ROUND_INTERVAL_S: Final = 0.05
-"""Minimum seconds between two rounds, since every entry sends a load request for each
-missing model."""
+"""Minimum seconds between two rounds; many models may be missing at once, and every
+entry sends a load request for each."""
 MAX_WORKERS: Final = 24
-"""Concurrent adapter orders and report requests to engines."""
+"""Maximum number of concurrent adapter loads and report requests."""
 INVENTORY_TIMEOUT_S: Final = 2.0
-"""Seconds that a new leader waits for the inventories of all engines before it loads
-models. An engine that has not reported by then may never report."""
+"""Maximum seconds that a new leader waits for the inventories of all engines before it
+loads models. An engine that has not reported by then may never report."""
 PUBLISH_INTERVAL_S: Final = 0.5
 """Seconds between two broadcasts of all inventories, for newly started entries."""
 
@@ -98,6 +98,7 @@
         self._drain_time = DrainTime()
         self._active = False
         self._refreshing: set[Upstream] = set()
+        # Models that were resident on each engine when first seen.
         self._home_models: dict[Upstream, frozenset[Model]] = {}
         self._staged: set[Upstream] = set()
         """Engines that have loaded an uncached model while idle. Each engine does so
@@ -257,8 +258,8 @@
                     )
                 else:
                     controller.engine.record = record
-            # A load that the previous leader ordered may be in progress. Reports don't
-            # include its memory before it is complete.
+            # A load ordered by the previous leader may be in progress; reports include
+            # its memory only on completion. Hence busy engines are polled repeatedly.
             outdated = [c for c in self._controllers.values() if c.needs_report()]
         for controller in outdated:
             if (
--- a/src/persimmonhitch/direct/leader_election.py
+++ b/src/persimmonhitch/direct/leader_election.py
@@ -17,12 +17,12 @@
 """Seconds without a message from the leader after which its lease is checked; by then
 two broadcasts are missing."""
 PROBE_TTL_S: Final = 1.5
-"""Seconds for which a peer's report that the store is unavailable is valid; it probes
-the store three times in that period."""
+"""Seconds for which a peer's report that the store is unavailable is valid; the peer
+probes the store three times in that period."""
 CANDIDATES_PER_STEP: Final = 4
 """Entries that try to acquire a free lease in the same step."""
 MAX_BACKOFF_STEPS: Final = 3
-"""Steps after which all remaining entries try to acquire it."""
+"""Maximum delay in steps; all remaining entries then try to acquire the lease."""
 PROBE_THREADS: Final = 2
 """Threads that probe the store for the leader; failed probes last for their timeout."""
 
@@ -44,7 +44,9 @@
 
 
 class LeaderElection:
-    """Acquires and renews the lease; releases it if only other entries reach the store.
+    """Acquires, renews and releases the lease.
+
+    A holder that cannot reach the store releases the lease if another entry can.
 
     Parameters
     ----------
@@ -151,8 +153,8 @@
             log("lease_step_failed", error=repr(exc))
 
     def _step(self) -> None:
-        # The leader's broadcasts show that it is alive. Without this check, polling of
-        # the lease by all other entries would make up most calls to the store.
+        # The leader's broadcasts prove that the leader is alive. Without this check,
+        # most calls to the store would be other entries' polls of the lease.
         leader_age = self._clock() - self._leader_seen_at
         if self._lease.epoch() is None and leader_age <= LEADER_TTL_S + self._backoff():
             return
@@ -165,10 +167,10 @@
             self._peers.send_to_all(StoreAsk(epoch))
 
     def _backoff(self) -> float:
-        """Return the seconds for which entries of a higher rank go first.
+        """Return the seconds for which a free lease is left to entries of lower rank.
 
         If dozens of entries competed at once, each step would cost as many calls to the
-        store. The rank also prefers VMs with spare processor time as leaders.
+        store. Entries on VMs with spare processor time have the lowest ranks.
         """
         return (
             min(self._rank() // CANDIDATES_PER_STEP, MAX_BACKOFF_STEPS)
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -413,7 +413,7 @@
                 log("tick_failed", error=repr(exc))
 
     def _followers(self) -> frozenset[Vm]:
-        """Return the entries that receive watch events from this one."""
+        """Return the entries that rely on watch events relayed by this one."""
         if not may_follow(self.cfg.stale_most_ms / 1000):
             return frozenset()
         routes = self.broadcast.routes
@@ -439,7 +439,7 @@
         log("settings_read", changed=",".join(changed) or "-")
 
     def stop(self, lifecycle: Lifecycle) -> None:
-        """Shut down gracefully, letting requests in progress finish.
+        """Shut down gracefully: let requests in progress finish.
 
         Readiness fails first and the listener stays open for a while: the balancer
         opens new connections until two of its readiness checks have failed.
--- a/src/persimmonhitch/direct/upstreams.py
+++ b/src/persimmonhitch/direct/upstreams.py
@@ -14,8 +14,8 @@
 from ..store.watcher import View
 
 REREGISTRATION_TIME_S: Final = 2.0
-"""Seconds after a store outage in which upstreams register again whose records expired
-only because they could not be renewed."""
+"""Seconds after a store outage within which running upstreams re-register if their
+records expired because they could not be renewed."""
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
     """Decodes records, each version once, and delays removals after a store outage.
 
     During an outage the store may drop the records of running upstreams. If these were
-    removed right away, every request would be refused until they have registered again.
+    removed right away, every request would be refused until they have re-registered.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._store_unavailable_at = self._clock()
 
     def update(self, view: View) -> None:
-        """Replace the list by the records of a new view."""
+        """Replace the list with the records of a new view."""
         old = {name: item.record for name, item in self._decoded.items()}
         self._decoded = {
             name: self._decode(name, obj) for name, obj in view.objects.items()
@@ -80,7 +80,7 @@
     def _keep_draining(
         self, old: _DecodedRecord | None, obj: StoredObject, new: UpstreamRecord
     ) -> UpstreamRecord:
-        """Keep an upstream draining if a restored, older copy of the store undid it."""
+        """Keep an upstream draining if a restored store has its record from before."""
         if old is None or old.record is None or not old.record.draining:
             return new
         restored = era_of(obj.version) > era_of(old.version)
@@ -98,7 +98,7 @@
             )
 
     def expire(self) -> None:
-        """Remove upstreams that have not registered again in time."""
+        """Remove upstreams that have not re-registered in time."""
         now = self._clock()
         expired = [name for name, (until, _) in self._expiring.items() if until <= now]
         for name in expired:
--- a/src/persimmonhitch/direct/watchers.py
+++ b/src/persimmonhitch/direct/watchers.py
@@ -1,4 +1,4 @@
-"""Watches of the store that an entry runs, and their timing."""
+"""Watchers for the store objects that an entry needs, and their timing."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,19 +9,19 @@
 from .upstreams import UpstreamList
 
 WATCH_S: Final = 2.0
-"""Seconds of one watch. An unresponsive connection is detected shortly after, within
-the time in which a change has to be in force."""
+"""Duration of one watch call. An unresponsive connection is detected shortly after, and
+within the time in which a change has to be in force."""
 UPSTREAM_WATCH_PAUSE_S: Final = 0.7
-"""Seconds between two watches of the upstreams. Each upstream rewrites its record about
-once per second, and a watch ends at the first change. Without the pause, each write
-would cause a call by every entry. An upstream may receive requests for up to two
+"""Seconds between two watch calls for upstreams. Each upstream rewrites its record
+about once per second, and a watch ends at the first change. Without the pause, each
+write would cause a call by every entry. An upstream may receive requests for up to two
 seconds after it starts draining."""
 MAX_RETRY_S: Final = 1.0
 """Maximum seconds between two attempts while the store is unavailable."""
 ENTRY_WATCH_PAUSE_S: Final = 1.0
-"""Seconds between two watches of the entries, many of which start or stop together."""
+"""Seconds between two watch calls for entries; many start or stop at the same time."""
 BLOCKED_WATCH_S: Final = 5.0
-"""Seconds of a watch of blocked requests, which peers report earlier."""
+"""Duration of a watch call for blocked requests, which peers report earlier."""
 
 Listener = Callable[[View], None]
 
--- a/tests/test_direct_engine_controller.py
+++ b/tests/test_direct_engine_controller.py
@@ -73,8 +73,8 @@
 def test_load_time_excludes_the_report_lag():
     """Guards against waiting for a report after each step of an eviction and load.
 
-    Reports lag by some hundred ms. Two of them can take as long as the load itself, and
-    requests with a low latency target would be answered late.
+    Reports lag by some hundred ms. Waiting for two reports can take as long as the load
+    itself, and requests with a low latency target would be answered late.
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
--- a/tests/test_direct_lease.py
+++ b/tests/test_direct_lease.py
@@ -99,7 +99,7 @@
 
 def test_released_lease_names_its_predecessor():
     """Guards against orders right after those of a leader that stopped as planned. A
-    process that starts then finds a free lease and has to know its last holder.
+    process that acquires the released lease has to know its previous holder.
     """
     clock, store, first, second = keepers()
     first.step()
--- a/tests/test_direct_start.py
+++ b/tests/test_direct_start.py
@@ -26,7 +26,7 @@
     process = subprocess.Popen(args, stderr=subprocess.DEVNULL)
     wait_for(
         lambda: blocks_sighup(process.pid) or process.poll() is not None,
-        "the first module",
+        "blocked SIGHUP",
     )
     assert process.poll() is None
     process.send_signal(signal.SIGHUP)
