--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -18,7 +18,7 @@
 from .abort import AbortReason
 from .admit import Admitted
 from .dispatcher import Dispatcher
-from .exchange import EXCHANGE_ERRORS, RETRY_AFTER_S, Exchange, OutgoingRequest, Reply
+from .exchange import EXCHANGE_ERRORS, RETRY_AFTER, Exchange, OutgoingRequest, Reply
 from .in_flight import InFlightRequest
 from .poison import PoisonGuard
 from .upstream_limits import UpstreamLimits
@@ -139,8 +139,8 @@
         if request.abort.reason is not None or time_left <= 0:
             request.release()
             reason = "its time was over before it was sent"
-            return Err(Failure(ErrorCode.OVERLOADED, reason, retry_after=RETRY_AFTER_S))
-        outgoing = self._outgoing(admitted, record.name, time_left, last_event_id)
+            return Err(Failure(ErrorCode.OVERLOADED, reason, retry_after=RETRY_AFTER))
+        outgoing = self._build_outgoing(admitted, record.name, time_left, last_event_id)
         request.sent_at, request.head_at = self._clock(), None
         sent = self._exchange.send(
             (record.host, record.port), outgoing, request.abort, time_left
@@ -149,7 +149,7 @@
             return Err(self._record_unanswered(request, sent.failure()))
         return self._check_reply(request, sent.unwrap())
 
-    def _outgoing(
+    def _build_outgoing(
         self,
         admitted: Admitted,
         instance: Upstream,
@@ -181,7 +181,7 @@
             self._report_loss(request, record)
         request.excluded |= {record.name}
         self._dispatcher.record_failure(record, unreachable)
-        self._log_failure(request, "attempt_failed", failure)
+        self._log(request, "attempt_failed", failure)
         return failure
 
     def _check_reply(
@@ -203,7 +203,7 @@
             self._dispatcher.record_failure(record, False)
             reason = "the answer is not the upstream's"
             failure = Failure(ErrorCode.PROTOCOL, reason, Verdict.MAY_HAVE_RUN)
-            self._log_failure(request, "attempt_failed", failure)
+            self._log(request, "attempt_failed", failure)
             return Err(failure)
         if reply.status < SERVER_ERROR_STATUS:
             self._dispatcher.record_success(record)
@@ -239,13 +239,11 @@
         else:
             request.excluded |= {record.name}
         reason = f"{record.name} refused it with {reply.status}"
-        failure = Failure(code, reason, retry_after=RETRY_AFTER_S)
-        self._log_failure(request, "attempt_refused", failure)
+        failure = Failure(code, reason, retry_after=RETRY_AFTER)
+        self._log(request, "attempt_refused", failure)
         return failure
 
-    def _log_failure(
-        self, request: InFlightRequest, event: str, failure: Failure
-    ) -> None:
+    def _log(self, request: InFlightRequest, event: str, failure: Failure) -> None:
         permit = request.permit
         log(
             event,
@@ -271,7 +269,7 @@
             self._report_loss(request, record)
             self._dispatcher.record_failure(record, False)
             request.excluded |= {record.name}
-        self._log_failure(request, "answer_cut", failure)
+        self._log(request, "answer_cut", failure)
         return failure
 
     def _report_loss(self, request: InFlightRequest, record: UpstreamRecord) -> None:
@@ -281,10 +279,8 @@
         nothing, as it may be lost with the upstream.
         """
         is_stream = request.admitted.route.kind is CallKind.STREAM
-        answered_for = (
-            0.0 if request.head_at is None else self._clock() - request.head_at
-        )
-        recent = not is_stream or answered_for <= FRESH
+        elapsed = 0.0 if request.head_at is None else self._clock() - request.head_at
+        recent = not is_stream or elapsed <= FRESH
         self._poison.lost(request.fingerprint, record, recent)
 
     def _abort_failure(self, request: InFlightRequest, failure: Failure) -> Failure:
@@ -294,11 +290,9 @@
         verdict = failure.verdict
         if verdict is Verdict.NOT_RUN and reason is AbortReason.TIMEOUT:
             text = "no upstream could take it in its time"
-            return Failure(ErrorCode.OVERLOADED, text, verdict, RETRY_AFTER_S)
+            return Failure(ErrorCode.OVERLOADED, text, verdict, RETRY_AFTER)
         if verdict is Verdict.NOT_RUN:
-            return Failure(
-                ErrorCode.SHUTTING_DOWN, reason.value, verdict, RETRY_AFTER_S
-            )
+            return Failure(ErrorCode.SHUTTING_DOWN, reason.value, verdict, RETRY_AFTER)
         return Failure(ErrorCode.DEADLINE, reason.value, Verdict.MAY_HAVE_RUN)
 
 
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -23,7 +23,7 @@
 READ_SIZE_BYTES: Final = 65536
 MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
 """Maximum size of an answer; answers of plain services are smaller."""
-RETRY_AFTER_S: Final = 0.3
+RETRY_AFTER: Final = 0.3
 """Retry time for callers: within the time of a short answer a slot becomes free."""
 MAX_IDLE_UNREPEATABLE_S: Final = 1.0
 """Maximum idle time of a connection used for a request that must not be repeated.
@@ -114,27 +114,23 @@
         self._read_marks = read_marks
 
     def send(
-        self,
-        address: Address,
-        outgoing: OutgoingRequest,
-        abort: Abort,
-        timeout_s: float,
+        self, address: Address, req: OutgoingRequest, abort: Abort, timeout_s: float
     ) -> Result[Reply, Failure]:
         """Send a request and wait for the head of its answer.
 
         A failure with verdict ``NOT_RUN`` means that the request was not sent.
         """
-        max_idle_s = float("inf") if outgoing.repeatable else MAX_IDLE_UNREPEATABLE_S
+        max_idle_s = float("inf") if req.repeatable else MAX_IDLE_UNREPEATABLE_S
         conn = self._pool.acquire(address, max_idle_s)
         if conn is None:
             conn = self._pool.open(address, timeout_s)
         if conn is None:
             reason = f"{address[0]}:{address[1]} takes no connection"
-            failure = Failure(ErrorCode.NO_UPSTREAM, reason, retry_after=RETRY_AFTER_S)
+            failure = Failure(ErrorCode.NO_UPSTREAM, reason, retry_after=RETRY_AFTER)
             return Err(failure)
         abort.set_action(lambda: _shut_down(conn))
         try:
-            return self._exchange(address, conn, outgoing, timeout_s)
+            return self._exchange(address, conn, req, timeout_s)
         except EXCHANGE_ERRORS as exc:
             conn.close()
             reason = f"the upstream was lost ({type(exc).__name__})"
@@ -144,7 +140,7 @@
         self,
         address: Address,
         conn: HTTPConnection,
-        outgoing: OutgoingRequest,
+        req: OutgoingRequest,
         timeout_s: float,
     ) -> Result[Reply, Failure]:
         # http.client sets the socket timeout from the connection. The margin lets the
@@ -152,17 +148,17 @@
         conn.timeout = timeout_s + 1.0
         headers = {"accept-encoding": SKIP_HEADER, "user-agent": SKIP_HEADER}
         conn.request(
-            outgoing.method,
-            outgoing.target,
-            body=outgoing.body or None,
-            headers={**headers, **outgoing.headers},
+            req.method,
+            req.target,
+            body=req.body or None,
+            headers={**headers, **req.headers},
             preload_content=False,
             decode_content=False,
         )
         response = conn.getresponse()
         headers = {k.lower(): v for k, v in response.headers.items()}
         marks = self._read_marks(response.status, headers)
-        if marks.request is not None and marks.request != outgoing.request_id:
+        if marks.request is not None and marks.request != req.request_id:
             # A late answer to another request; this request may still be running.
             raise ValueError("the answer belongs to another request")
         length = headers.get("content-length", "")
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -136,10 +136,8 @@
                 state.missing_at.pop((model, name), None)
         state.reported = Holding(msg.orders, models)
         state.reported_at = self._clock()
-        loading = msg.coming.values()
-        state.busy_until = (
-            state.reported_at + max(loading, default=-1.0) + BUSY_MARGIN_S
-        )
+        loads = msg.coming.values()
+        state.busy_until = state.reported_at + max(loads, default=-1.0) + BUSY_MARGIN_S
 
     def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
         """Apply the work of a peer at each upstream."""
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -89,17 +89,9 @@
         self._listener = socket.create_server(("127.0.0.1", 0))
         port = self._listener.getsockname()[1]
         models = {MODEL: frozenset()} if service == LLM else None
-        inventory = Holding(ORDERS_UNKNOWN, models) if models is not None else None
+        loaded = Holding(ORDERS_UNKNOWN, models) if models is not None else None
         self.record = UpstreamRecord(
-            Upstream(name),
-            service,
-            "127.0.0.1",
-            port,
-            Zone("z1"),
-            8,
-            False,
-            1,
-            inventory,
+            Upstream(name), service, "127.0.0.1", port, Zone("z1"), 8, False, 1, loaded
         )
         threading.Thread(target=self._accept, daemon=True).start()
 
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -32,18 +32,9 @@
 
 def request(rank=1, latency_target=5.0, deadline=10.0, model=BIG, adapter=None):
     now = time.monotonic()
-    deadline_at = now + deadline
+    end = now + deadline
     return Need(
-        LLM,
-        model,
-        adapter,
-        100,
-        120,
-        rank,
-        now,
-        now + latency_target,
-        deadline_at,
-        deadline_at,
+        LLM, model, adapter, 100, 120, rank, now, now + latency_target, end, end
     )
 
 
