--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -69,7 +69,7 @@
     def take(self, now: float) -> float:
         """Take a place for a call; return 0, or the seconds until there is one."""
         self._bucket.advance(now, 0, 1)
-        return self._bucket.take(ONE) or 0.0
+        return self._bucket.spend(ONE) or 0.0
 
     def take_order(self, now: float) -> bool:
         """Take a place for an order; return whether there is one."""
@@ -105,7 +105,7 @@
         self.granted = [until for until in self.granted if until > now]
         if not self.granted and self._share is not None:
             self._share.advance(now, 0, 1)
-            if self._share.take(ONE) is None:
+            if self._share.spend(ONE) is None:
                 self.granted.append(now + GRANT_LIFE)
         return bool(self.granted)
 
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -281,7 +281,7 @@
         is_stream = request.admitted.route.kind is CallKind.STREAM
         elapsed = 0.0 if request.head_at is None else self._clock() - request.head_at
         recent = not is_stream or elapsed <= FRESH
-        self._poison.lost(request.fingerprint, record, recent)
+        self._poison.connection_lost(request.fingerprint, record, recent)
 
     def _abort_failure(self, request: InFlightRequest, failure: Failure) -> Failure:
         """Return the failure for the caller of an aborted request."""
--- a/src/persimmonhitch/direct/broadcast.py
+++ b/src/persimmonhitch/direct/broadcast.py
@@ -12,13 +12,13 @@
 from ..ids import Incarnation, Vm
 from ..observe.logs import log
 from ..wire.codec import decode, encode
-from .news import Bundle, Item
+from .peer_messages import BroadcastBatch, BroadcastItem
 
-FLUSH_EVERY: Final = 0.1
+FLUSH_INTERVAL_S: Final = 0.1
 """Seconds between two bundles to a neighbour, while there is something to tell."""
-URGENT_EVERY: Final = 0.03
+URGENT_FLUSH_INTERVAL_S: Final = 0.03
 """Seconds between two of them while callers wait for what is told."""
-BEAT_EVERY: Final = 0.2
+HEARTBEAT_INTERVAL_S: Final = 0.2
 """Seconds after which a neighbour is told that this entry lives."""
 
 Handler = Callable[[Vm, Any, float], None]
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True)
 class _Queued:
-    item: Item
+    item: BroadcastItem
     source: Vm | None
     """The neighbour that it came from; None for a message of this entry."""
-    across: bool
-    at: float
+    from_across: bool
+    queued_at: float
 
 
 @dataclass
-class _Heard:
+class _Origin:
     """The newest message of an origin."""
 
     incarnation: Incarnation
-    number: int
+    sequence: int
     ended: frozenset[Incarnation] = frozenset()
     """Processes that ran there before."""
 
@@ -73,18 +73,18 @@
         self._send = send
         self._clock = clock
         self._lock = threading.Lock()
-        self._number = 0
+        self._sequence = 0
         self._queue: list[_Queued] = []
         self._urgent = False
-        self._heard: dict[Vm, _Heard] = {}
+        self._origins: dict[Vm, _Origin] = {}
         self._handlers: dict[type, Handler] = {}
-        self._flushed_at = self._beat_at = self._probed_at = 0.0
+        self._flushed_at = self._heartbeat_at = self._probed_at = 0.0
         self.routes = Routes()
-        self._logged: Vm | None = self._vm
+        self._logged_parent: Vm | None = self._vm
 
-    def on(self, kind: type, handler: Handler) -> None:
+    def on(self, message_type: type, handler: Handler) -> None:
         """Hand every message of a kind to ``handler``."""
-        self._handlers[kind] = handler
+        self._handlers[message_type] = handler
 
     def publish(self, msg: Any, urgent: bool = False) -> None:
         """Tell a message to all other entries; it goes out with the next flush.
@@ -94,48 +94,48 @@
         body = encode(msg)
         now = self._clock()
         with self._lock:
-            self._number += 1
-            item = Item(self._vm, self._incarnation, self._number, 0, body)
+            self._sequence += 1
+            item = BroadcastItem(self._vm, self._incarnation, self._sequence, 0, body)
             self._queue.append(_Queued(item, None, False, now))
             self._urgent |= urgent
 
     def incarnation(self, vm: Vm) -> Incarnation | None:
         """Return the newest process that was heard from a VM."""
-        found = self._heard.get(vm)
-        return found.incarnation if found else None
+        state = self._origins.get(vm)
+        return state.incarnation if state else None
 
-    def hear(self, vm: Vm, msg: Bundle) -> None:
+    def receive(self, vm: Vm, batch: BroadcastBatch) -> None:
         """Take a neighbour's bundle, pass its news on and hand them to handlers."""
         now = self._clock()
         with self._lock:
-            self._overlay.heard(vm, msg.way, now)
-            fresh = [item for item in msg.items if self._is_new(item)]
-            across = msg.way is Way.ACROSS
-            self._queue += [_Queued(item, vm, across, now) for item in fresh]
-        if fresh:
-            self._observe_age(max(item.age_ms for item in fresh) / 1000)
-        for item in fresh:
-            self._handle(item, now - item.age_ms / 1000)
-
-    def _is_new(self, item: Item) -> bool:
+            self._overlay.heard(vm, batch.direction, now)
+            new_items = [item for item in batch.items if self._record_if_new(item)]
+            across = batch.direction is Way.ACROSS
+            self._queue += [_Queued(item, vm, across, now) for item in new_items]
+        if new_items:
+            self._observe_age(max(item.age_ms for item in new_items) / 1000)
+        for item in new_items:
+            self._deliver(item, now - item.age_ms / 1000)
+
+    def _record_if_new(self, item: BroadcastItem) -> bool:
         if item.origin == self._vm:
             return False
-        last = self._heard.get(item.origin)
+        last = self._origins.get(item.origin)
         if last is None:
-            self._heard[item.origin] = _Heard(item.incarnation, item.number)
+            self._origins[item.origin] = _Origin(item.incarnation, item.sequence)
             return True
         if item.incarnation != last.incarnation:
             if item.incarnation in last.ended:
                 return False
             ended = last.ended | {last.incarnation}
-            self._heard[item.origin] = _Heard(item.incarnation, item.number, ended)
+            self._origins[item.origin] = _Origin(item.incarnation, item.sequence, ended)
             return True
-        if item.number <= last.number:
+        if item.sequence <= last.sequence:
             return False
-        last.number = item.number
+        last.sequence = item.sequence
         return True
 
-    def _handle(self, item: Item, as_of: float) -> None:
+    def _deliver(self, item: BroadcastItem, as_of: float) -> None:
         result = decode(item.body)
         if not isinstance(result, Success):
             # A newer version of the program may tell what this one does not know.
@@ -154,54 +154,54 @@
         """Send what is to be told, if it is time to."""
         now = self._clock()
         with self._lock:
-            beat = now - self._beat_at >= BEAT_EVERY
-            pause = URGENT_EVERY if self._urgent else FLUSH_EVERY
-            if not beat and (not self._queue or now - self._flushed_at < pause):
+            heartbeat = now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S
+            interval = URGENT_FLUSH_INTERVAL_S if self._urgent else FLUSH_INTERVAL_S
+            if not heartbeat and (not self._queue or now - self._flushed_at < interval):
                 return
             self._flushed_at, self._urgent = now, False
-            self._beat_at = now if beat else self._beat_at
-            probe = now - self._probed_at >= PROBE_EVERY
-            self._probed_at = now if probe else self._probed_at
+            self._heartbeat_at = now if heartbeat else self._heartbeat_at
+            probe_due = now - self._probed_at >= PROBE_EVERY
+            self._probed_at = now if probe_due else self._probed_at
             routes = self.routes = self._overlay.routes(now)
             queue, self._queue = self._queue, []
         self._log_parent(routes)
-        self._tell(routes, queue, now, beat)
-        if probe and routes.probes:
-            self._send_all(routes.probes, Bundle(Way.UP, ()))
+        self._send_queued(routes, queue, now, heartbeat)
+        if probe_due and routes.probes:
+            self._send_batch(routes.probes, BroadcastBatch(Way.UP, ()))
 
-    def _tell(
-        self, routes: Routes, queue: list[_Queued], now: float, beat: bool
+    def _send_queued(
+        self, routes: Routes, queue: list[_Queued], now: float, heartbeat: bool
     ) -> None:
         parent = routes.parent
-        up = [q for q in queue if q.source != parent]
-        inner = [q for q in queue if not q.across]
+        for_parent = [q for q in queue if q.source != parent]
+        for_across = [q for q in queue if not q.from_across]
         groups = (
-            (Way.UP, frozenset((parent,) if parent is not None else ()), up),
+            (Way.UP, frozenset((parent,) if parent is not None else ()), for_parent),
             (Way.DOWN, routes.children, queue),
-            (Way.ACROSS, routes.across, inner),
+            (Way.ACROSS, routes.across, for_across),
         )
-        for way, targets, queued in groups:
-            if targets and (queued or beat):
-                items = tuple(_aged(q, now) for q in queued)
-                self._send_all(targets, Bundle(way, items))
+        for direction, targets, selected in groups:
+            if targets and (selected or heartbeat):
+                items = tuple(_with_queue_time(q, now) for q in selected)
+                self._send_batch(targets, BroadcastBatch(direction, items))
 
-    def _send_all(self, targets: frozenset[Vm], bundle: Bundle) -> None:
-        frame = encode(bundle)
+    def _send_batch(self, targets: frozenset[Vm], batch: BroadcastBatch) -> None:
+        frame = encode(batch)
         for vm in targets:
             self._send(vm, frame)
 
     def _log_parent(self, routes: Routes) -> None:
-        if routes.parent == self._logged:
+        if routes.parent == self._logged_parent:
             return
-        self._logged = routes.parent
+        self._logged_parent = routes.parent
         log(
             "news_parent",
             parent=routes.parent or "-",
-            silent=",".join(sorted(routes.probes)) or "-",
+            unresponsive=",".join(sorted(routes.probes)) or "-",
             children=len(routes.children),
         )
 
 
-def _aged(queued: _Queued, now: float) -> Item:
-    waited = max(0, int((now - queued.at) * 1000))
-    return replace(queued.item, age_ms=queued.item.age_ms + waited)
+def _with_queue_time(queued: _Queued, now: float) -> BroadcastItem:
+    waited_ms = max(0, int((now - queued.queued_at) * 1000))
+    return replace(queued.item, age_ms=queued.item.age_ms + waited_ms)
--- a/src/persimmonhitch/direct/crash_checks.py
+++ b/src/persimmonhitch/direct/crash_checks.py
@@ -7,8 +7,8 @@
 from .connection_pool import ConnectionPool
 from .poison import PoisonGuard
 
-LOOK_EVERY: Final = 0.05
-CONNECT_TIME: Final = 0.5
+POLL_INTERVAL_S: Final = 0.05
+CONNECT_TIMEOUT_S: Final = 0.5
 """Seconds after which an upstream that takes no connection counts as ended."""
 
 
@@ -29,7 +29,7 @@
         self._stopping.set()
 
     def _run(self) -> None:
-        while not self._stopping.wait(LOOK_EVERY):
+        while not self._stopping.wait(POLL_INTERVAL_S):
             for record in self._guard.due_checks():
                 threading.Thread(
                     target=self._check, args=(record,), name="crash-check", daemon=True
@@ -37,7 +37,7 @@
 
     def _check(self, record: UpstreamRecord) -> None:
         address = record.host, record.port
-        conn = self._conns.open(address, CONNECT_TIME)
+        conn = self._conns.open(address, CONNECT_TIMEOUT_S)
         if conn is None:
             self._guard.unreachable(record)
         else:
--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -23,7 +23,7 @@
 from ..observe.logs import log
 from ..verdict import Failure
 from .abort import Abort
-from .news import HoldingNews, NodeNews, Want
+from .peer_messages import EntryUpdate, InventoryUpdate, LoadRequest
 from .poison import PoisonGuard
 from .upstream_limits import UpstreamLimits
 from .upstream_table import UpstreamTable
@@ -94,7 +94,7 @@
     def __init__(
         self,
         zone: Zone,
-        send_load_request: Callable[[Want], None],
+        send_load_request: Callable[[LoadRequest], None],
         poison: PoisonGuard,
         limits: UpstreamLimits,
         clock: Callable[[], float] = time.monotonic,
@@ -147,7 +147,7 @@
         if waiter.last_choice.step is Step.WAIT:
             trial_failure = self._poison.trial_refusal(waiter.request.call)
         if trial_failure is None and waiter.limited_by:
-            return limited(waiter.request, self._limits.wait(waiter.limited_by))
+            return limited(waiter.request, self._limits.wait_s(waiter.limited_by))
         return trial_failure or refusal(waiter.last_choice.step, waiter.request)
 
     def _refuse_if_load_is_late(self, waiter: _Waiter, now: float) -> None:
@@ -210,7 +210,7 @@
                 waiter.decided.set()
                 continue
             views = self._table.views(waiter.request, waiter.excluded)
-            self._poison.hold_back(waiter.request, views)
+            self._poison.exclude_upstreams(waiter.request, views)
             waiter.limited_by = self._all_limited(waiter.request, views)
             waiter.last_choice = choose(views, waiter.request, self._zone)
             self._apply_choice(waiter, waiter.last_choice)
@@ -218,13 +218,13 @@
                 self._refuse_limited(waiter)
 
     def _all_limited(self, request: Need, views: list[Lane]) -> frozenset[Upstream]:
-        at_limit = self._limits.hold_back(views)
+        at_limit = self._limits.exclude_limited(views)
         able = {v.upstream for v in views if request.model is None or v.model_here}
         return at_limit & able if at_limit and able <= at_limit else frozenset()
 
     def _refuse_limited(self, waiter: _Waiter) -> None:
         """Refuse a request at once if every capable upstream stays limited too long."""
-        wait = self._limits.wait(waiter.limited_by)
+        wait = self._limits.wait_s(waiter.limited_by)
         now = self._clock()
         if wait is None:
             waiter.give_up_at = min(waiter.give_up_at, now + LIMIT_WORD)
@@ -257,7 +257,7 @@
         target = model, adapter, upstream
         if now - self._requested.get(target, -RESEND_INTERVAL_S) >= RESEND_INTERVAL_S:
             self._requested[target] = now
-            self._send_load_request(Want(*target, self._demand.get(model, 0.0)))
+            self._send_load_request(LoadRequest(*target, self._demand.get(model, 0.0)))
 
     # -- upstream state ----------------------------------------------------------
 
@@ -273,19 +273,19 @@
             self._table.update(records)
             self._match_waiters()
 
-    def receive_inventory(self, msg: HoldingNews) -> None:
+    def receive_inventory(self, msg: InventoryUpdate) -> None:
         """Apply the leader's report of the models that an engine holds or loads."""
         now = self._clock()
         with self._lock:
-            for model, seconds in msg.coming.items():
+            for model, seconds in msg.loading.items():
                 self._ready_at[model] = now + seconds
             self._table.receive_inventory(msg)
             self._match_waiters()
             for waiter in list(self._waiters):
-                if msg.coming and waiter.request.model in msg.coming:
+                if msg.loading and waiter.request.model in msg.loading:
                     self._refuse_if_load_is_late(waiter, now)
 
-    def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
+    def receive_entry_update(self, vm: Vm, msg: EntryUpdate) -> None:
         """Apply a peer's work at each upstream; ``tick`` matches waiting requests.
 
         Dozens of peers send updates more often than their slots change, and matching
@@ -328,10 +328,10 @@
         if state is not None:
             state.last_activity_at = self._clock()
 
-    def entry_update(self) -> NodeNews:
+    def entry_update(self) -> EntryUpdate:
         """Return this entry's work as an update for peers, without its usage."""
         with self._lock:
-            return NodeNews({}, dict(self._demand), self._table.own_work())
+            return EntryUpdate({}, dict(self._demand), self._table.own_work())
 
     def prompt_read_rate(self, service: Service) -> float:
         """Return the prompt tokens per second that an engine of a service processes."""
--- a/src/persimmonhitch/direct/engine_client.py
+++ b/src/persimmonhitch/direct/engine_client.py
@@ -69,7 +69,7 @@
         self, record: UpstreamRecord, order: Order, order_count: int, epoch: Epoch
     ) -> OrderOutcome:
         """Send an order, valid only if the engine accepted ``order_count`` before."""
-        if not self._limits.allows_order(record):
+        if not self._limits.acquire_order_slot(record):
             return OrderOutcome.LIMITED
         body = encode_order(
             order.load, order.model, order.adapter, order_count, self._vm, epoch
@@ -87,7 +87,7 @@
 
     def get_report(self, record: UpstreamRecord) -> Result[Holding, str]:
         """Return an engine's inventory, some hundred ms old, or an error text."""
-        if not self._limits.allows_report(record):
+        if not self._limits.acquire_report_slot(record):
             return Err("request limit reached")
         url = f"http://{record.host}:{record.port}{names.REPORT_PATH}"
         try:
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -112,7 +112,7 @@
         """Charge a request to its account, or return the rate limit refusal."""
         if admitted.account is None:
             return None
-        wait = self._quota.take(admitted.account.name, admitted.cost)
+        wait = self._quota.spend(admitted.account.name, admitted.cost)
         if wait is None:
             return None
         account = admitted.account
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -33,7 +33,7 @@
 from .engine_client import EngineClient
 from .engine_controller import EngineController, EngineState, usable_models
 from .leader_election import LeaderElection
-from .news import HoldingNews, NodeNews, Use, Want
+from .peer_messages import EntryUpdate, InventoryUpdate, LoadRequest, ModelUse
 from .peer_work import PeerWork
 from .upstream_limits import UpstreamLimits
 
@@ -73,11 +73,11 @@
         self,
         vm: Vm,
         make_election: Callable[[LastOrderTimes], LeaderElection],
-        broadcast: Callable[[HoldingNews], None],
+        broadcast: Callable[[InventoryUpdate], None],
         read_rate: Callable[[Service], float],
         limits: UpstreamLimits,
         clock: Callable[[], float] = time.monotonic,
-        send: Callable[[Vm, HoldingNews], object] = lambda _vm, _update: None,
+        send: Callable[[Vm, InventoryUpdate], object] = lambda _vm, _update: None,
     ) -> None:
         self.election = make_election(self._last_order_times)
         self._broadcast = broadcast
@@ -154,14 +154,14 @@
         with self._lock:
             self._records = {record.name: record for record in records}
 
-    def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
+    def receive_entry_update(self, vm: Vm, msg: EntryUpdate) -> None:
         """Record the requests in progress and the demand of an entry."""
         now = self._clock()
         with self._lock:
-            self._peer_work.hear(vm, msg, now)
-            self._demand.hear(vm, msg.asked, now)
+            self._peer_work.receive(vm, msg, now)
+            self._demand.hear(vm, msg.demand, now)
 
-    def receive_load_request(self, vm: Vm, msg: Want) -> None:
+    def receive_load_request(self, vm: Vm, msg: LoadRequest) -> None:
         """Load a model or an adapter that an entry has requests for.
 
         A missing model triggers a placement round; an adapter is loaded right away.
@@ -169,9 +169,9 @@
         if not self._is_active():
             return
         if msg.upstream is None or msg.adapter is None:
-            if msg.asked:
+            if msg.demand:
                 with self._lock:
-                    self._demand.hear(vm, {msg.model: msg.asked}, self._clock())
+                    self._demand.hear(vm, {msg.model: msg.demand}, self._clock())
             self._round_due.set()
             return
         with self._lock:
@@ -179,7 +179,9 @@
         if controller is not None:
             self._pool.submit(self._run_step, self._load_adapter, vm, controller, msg)
 
-    def _load_adapter(self, vm: Vm, controller: EngineController, msg: Want) -> None:
+    def _load_adapter(
+        self, vm: Vm, controller: EngineController, msg: LoadRequest
+    ) -> None:
         assert msg.adapter is not None
         if controller.load_adapter(msg.model, msg.adapter):
             update = self._inventory_update(controller)
@@ -293,24 +295,26 @@
         )
         return controller
 
-    def _uses_by_upstream(self) -> dict[Upstream, set[Use]]:
+    def _uses_by_upstream(self) -> dict[Upstream, set[ModelUse]]:
         """Return the models and adapters in use at each engine, over all entries."""
-        uses: defaultdict[Upstream, set[Use]] = defaultdict(set)
+        uses: defaultdict[Upstream, set[ModelUse]] = defaultdict(set)
         with self._lock:
-            for work in self._peer_work.running():
-                uses[work.upstream].update(work.uses)
+            for work in self._peer_work.all_work():
+                uses[work.upstream].update(work.model_uses)
         return uses
 
     def _is_in_use(self, engine: EngineState, model: Model, adapter: Adapter) -> bool:
         with self._lock:
-            return Use(model, adapter) in self._peer_work.uses(engine.record.name)
+            return ModelUse(model, adapter) in self._peer_work.model_uses(
+                engine.record.name
+            )
 
     def _publish(self, controller: EngineController) -> None:
         update = self._inventory_update(controller)
         if update is not None:
             self._broadcast(update)
 
-    def _inventory_update(self, controller: EngineController) -> HoldingNews | None:
+    def _inventory_update(self, controller: EngineController) -> InventoryUpdate | None:
         engine = controller.engine
         if engine.inventory is None:
             return None
@@ -318,7 +322,7 @@
         loading = {}
         if engine.loading is not None:
             loading[engine.loading] = max(0.0, engine.ready_at - now)
-        return HoldingNews(
+        return InventoryUpdate(
             engine.record.name,
             engine.record.born,
             engine.inventory.orders,
--- a/src/persimmonhitch/direct/leader_election.py
+++ b/src/persimmonhitch/direct/leader_election.py
@@ -11,7 +11,13 @@
 from ..planner.lease import LeaseKeeper, Predecessor
 from ..store.objects import Version
 from .handover import OrderHistory
-from .news import HoldingNews, Renewed, Resigned, StoreAnswer, StoreAsk
+from .peer_messages import (
+    InventoryUpdate,
+    LeaseReleased,
+    LeaseRenewed,
+    StoreProbe,
+    StoreProbeReply,
+)
 
 LEADER_TTL_S: Final = 1.1
 """Seconds without a message from the leader after which its lease is checked; by then
@@ -161,10 +167,10 @@
         self._lease.step()
         renewal = self._lease.renewal()
         if renewal is not None:
-            self._peers.send_to_all(Renewed(*renewal))
+            self._peers.send_to_all(LeaseRenewed(*renewal))
         epoch = self._lease.epoch()
         if self._lease.failing and epoch is not None:
-            self._peers.send_to_all(StoreAsk(epoch))
+            self._peers.send_to_all(StoreProbe(epoch))
 
     def _backoff(self) -> float:
         """Return the seconds for which a free lease is left to entries of lower rank.
@@ -177,16 +183,16 @@
             * self._lease.step_every
         )
 
-    def receive_probe(self, vm: Vm, msg: StoreAsk) -> None:
+    def receive_probe(self, vm: Vm, msg: StoreProbe) -> None:
         """Probe the store on request of the leader."""
         self._probes.submit(self._send_probe_reply, vm, msg.epoch)
 
     def _send_probe_reply(self, vm: Vm, epoch: Epoch) -> None:
-        self._peers.send(vm, StoreAnswer(epoch, self._lease.reachable()))
+        self._peers.send(vm, StoreProbeReply(epoch, self._lease.reachable()))
 
-    def receive_probe_reply(self, vm: Vm, msg: StoreAnswer) -> None:
+    def receive_probe_reply(self, vm: Vm, msg: StoreProbeReply) -> None:
         """Release the lease if the peer reaches the store and this entry does not."""
-        if not msg.reached:
+        if not msg.reachable:
             self._probe_failed_at[vm] = self._clock()
             return
         if not self._lease.failing or self._lease.epoch() != msg.epoch:
@@ -199,22 +205,22 @@
         now = self._clock()
         ages = {name: now - at for name, at in self._last_order_times().items()}
         log("orders_resigned", epoch=epoch)
-        self._peers.send_to_all(Resigned(epoch, ages))
+        self._peers.send_to_all(LeaseReleased(epoch, ages))
 
-    def receive_release(self, vm: Vm, msg: Resigned) -> None:
+    def receive_release(self, vm: Vm, msg: LeaseReleased) -> None:
         """Compete for the lease that another entry has released."""
         self._lease.hear_resigned(vm, msg.epoch)
-        self._history.record_release(vm, msg.ages)
+        self._history.record_release(vm, msg.order_ages_s)
         self._leader_seen_at = self._clock() - LEADER_TTL_S
         self._step_due.set()
 
-    def receive_renewal(self, msg: Renewed, sent_at: float) -> None:
+    def receive_renewal(self, msg: LeaseRenewed, sent_at: float) -> None:
         """Record the time of a renewal that the leader reported at ``sent_at``."""
         delay = max(0.0, self._clock() - sent_at)
-        self._lease.hear_renewal(Version(msg.version), msg.age + delay)
+        self._lease.hear_renewal(Version(msg.version), msg.age_s + delay)
 
-    def receive_inventory_update(self, vm: Vm, msg: HoldingNews) -> None:
+    def receive_inventory_update(self, vm: Vm, msg: InventoryUpdate) -> None:
         """Record that the leader is alive, and its order count for an engine."""
         self._leader_seen_at = self._clock()
         self._lease.saw_epoch(msg.epoch)
-        self._history.record_orders(vm, msg.upstream, msg.orders)
+        self._history.record_orders(vm, msg.upstream, msg.order_count)
--- /dev/null
+++ b/src/persimmonhitch/direct/local_work.py
@@ -0,0 +1,50 @@
+"""The calls of this entry that one upstream runs now."""
+
+from dataclasses import dataclass, field
+
+from ..decide.dispatch import Need
+from ..ids import Adapter, Model, Upstream
+from .peer_messages import ModelUse, UpstreamWork
+
+
+@dataclass
+class LocalWork:
+    """Calls of this entry at one upstream."""
+
+    requests: int = 0
+    tokens: int = 0
+    prefill_tokens: int = 0
+    """Prompt tokens that it has yet to read."""
+    model_counts: dict[tuple[Model, Adapter | None], int] = field(default_factory=dict)
+    """Calls that use each model and adapter."""
+    busy_since: float = 0.0
+    """When the first of the calls that run now was sent."""
+
+    def start(self, request: Need, now: float) -> None:
+        """Count a call that is sent."""
+        if not self.requests:
+            self.busy_since = now
+        self.requests += 1
+        self.tokens += request.tokens
+        self.prefill_tokens += request.prompt
+        if request.model is not None:
+            key = (request.model, request.adapter)
+            self.model_counts[key] = self.model_counts.get(key, 0) + 1
+
+    def finish(self, request: Need, prefill_done: bool) -> None:
+        """Count a call that has ended."""
+        self.requests -= 1
+        self.tokens -= request.tokens
+        if not prefill_done:
+            self.prefill_tokens -= request.prompt
+        if request.model is not None:
+            key = (request.model, request.adapter)
+            self.model_counts[key] -= 1
+            if not self.model_counts[key]:
+                del self.model_counts[key]
+
+    def to_message(self, upstream: Upstream) -> UpstreamWork:
+        """Return it as the peers are told."""
+        uses = tuple(ModelUse(model, adapter) for model, adapter in self.model_counts)
+        prefill = max(0, self.prefill_tokens)
+        return UpstreamWork(upstream, self.requests, self.tokens, prefill, uses)
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -27,7 +27,7 @@
 from ..ids import Incarnation, Model, Upstream, Vm, Zone, new_incarnation
 from ..kernel import Lifecycle
 from ..kernel.service import run_service
-from ..limits.pooled import NEWS_EVERY
+from ..limits.pooled import UPDATE_INTERVAL_S
 from ..observe.logs import log
 from ..observe.metrics import Metrics
 from ..planner.lease import LeaseKeeper
@@ -47,7 +47,7 @@
 from .abort import Watchdog
 from .admit import ActiveConfig
 from .app import CallerApp, StatusApp
-from .blocked_calls import BlockedCalls
+from .blocked_requests import BlockedRequests
 from .broadcast import Broadcast
 from .connection_pool import ConnectionPool
 from .crash_checks import CrashChecks
@@ -56,20 +56,20 @@
 from .gateway import Gateway
 from .leader import Leader
 from .leader_election import LeaderElection
-from .news import (
-    Bundle,
-    CrashNews,
-    EraNews,
-    HoldingNews,
-    LimitAsk,
+from .peer_messages import (
+    BroadcastBatch,
+    CrashUpdate,
+    EntryUpdate,
+    EraUpdate,
+    InventoryUpdate,
+    LeaseReleased,
+    LeaseRenewed,
     LimitGrant,
-    LimitNews,
-    NodeNews,
-    Renewed,
-    Resigned,
-    StoreAnswer,
-    StoreAsk,
-    Want,
+    LimitRequest,
+    LimitUpdate,
+    LoadRequest,
+    StoreProbe,
+    StoreProbeReply,
 )
 from .poison import PoisonGuard
 from .quota import Quota
@@ -137,12 +137,14 @@
         self.quota = Quota(lambda: self.peers)
         self.watchdog = Watchdog()
         self.poison = PoisonGuard(
-            self.vm, changed=self._tick_due.set, alone=self.quota.hears_nobody
+            self.vm, on_change=self._tick_due.set, is_isolated=self.quota.is_isolated
         )
         self.limits = UpstreamLimits(
-            self._request_limit, lambda: len(self.peers) + 1, changed=self._tick_due.set
+            self._request_limit,
+            lambda: len(self.peers) + 1,
+            on_change=self._tick_due.set,
         )
-        self.blocked_calls = BlockedCalls(store, self.poison, self.overlay.place)
+        self.blocked_calls = BlockedRequests(store, self.poison, self.overlay.place)
         self.connection_pool = ConnectionPool()
         self.crash_checks = CrashChecks(self.poison, self.connection_pool)
         self.dispatcher = Dispatcher(
@@ -194,24 +196,27 @@
         return cls(cfg)
 
     def _register_handlers(self) -> None:
-        self.mesh.on(Bundle, self.broadcast.hear)
+        self.mesh.on(BroadcastBatch, self.broadcast.receive)
         self.mesh.on(StorePush, lambda _vm, msg: self.pushes.hear(msg))
-        self.mesh.on(Want, self.leader.receive_load_request)
-        self.mesh.on(HoldingNews, self._on_inventory_update)
-        self.mesh.on(StoreAnswer, self.election.receive_probe_reply)
-        self.mesh.on(LimitAsk, self._on_limit_request)
-        self.mesh.on(LimitGrant, lambda _vm, msg: self.limits.hear_grant(msg))
+        self.mesh.on(LoadRequest, self.leader.receive_load_request)
+        self.mesh.on(InventoryUpdate, self._on_inventory_update)
+        self.mesh.on(StoreProbeReply, self.election.receive_probe_reply)
+        self.mesh.on(LimitRequest, self._on_limit_request)
+        self.mesh.on(LimitGrant, lambda _vm, msg: self.limits.receive_grant(msg))
         on = self.broadcast.on
-        on(NodeNews, self._on_entry_update)
-        on(CrashNews, self.poison.hear)
-        on(LimitNews, self.limits.hear)
-        on(EraNews, self._on_era_update)
-        on(HoldingNews, lambda vm, msg, _at: self._on_inventory_update(vm, msg))
-        on(Want, lambda vm, msg, _at: self.leader.receive_load_request(vm, msg))
-        on(StoreAsk, lambda vm, msg, _at: self.election.receive_probe(vm, msg))
-        on(StoreAnswer, lambda vm, msg, _at: self.election.receive_probe_reply(vm, msg))
-        on(Resigned, lambda vm, msg, _at: self.election.receive_release(vm, msg))
-        on(Renewed, lambda _vm, msg, at: self.election.receive_renewal(msg, at))
+        on(EntryUpdate, self._on_entry_update)
+        on(CrashUpdate, self.poison.receive)
+        on(LimitUpdate, self.limits.receive)
+        on(EraUpdate, self._on_era_update)
+        on(InventoryUpdate, lambda vm, msg, _at: self._on_inventory_update(vm, msg))
+        on(LoadRequest, lambda vm, msg, _at: self.leader.receive_load_request(vm, msg))
+        on(StoreProbe, lambda vm, msg, _at: self.election.receive_probe(vm, msg))
+        on(
+            StoreProbeReply,
+            lambda vm, msg, _at: self.election.receive_probe_reply(vm, msg),
+        )
+        on(LeaseReleased, lambda vm, msg, _at: self.election.receive_release(vm, msg))
+        on(LeaseRenewed, lambda _vm, msg, at: self.election.receive_renewal(msg, at))
 
     def _make_servers(self) -> None:
         cfg = self.cfg
@@ -256,7 +261,7 @@
 
     # -- updates ---------------------------------------------------------------------
 
-    def _on_era_update(self, _vm: Vm, msg: EraNews, _as_of: float) -> None:
+    def _on_era_update(self, _vm: Vm, msg: EraUpdate, _as_of: float) -> None:
         self.eras.note(Era(msg.era))
 
     def _on_era(self, era: Era) -> None:
@@ -266,7 +271,7 @@
             watcher.restored()
         self.registration.rewrite()
         self.metrics.store_era(era)
-        self.broadcast.publish(EraNews(era), urgent=True)
+        self.broadcast.publish(EraUpdate(era), urgent=True)
 
     def _on_config(self, view: View) -> None:
         obj = view.objects.get(CONFIG_NAME)
@@ -287,8 +292,8 @@
         log("config_in_force", version=cfg.version, routes=len(cfg.routes))
 
     def _on_upstreams(self, records: list[UpstreamRecord]) -> None:
-        self.poison.listed(records)
-        self.limits.listed(records)
+        self.poison.update_upstreams(records)
+        self.limits.update_upstreams(records)
         self.dispatcher.update(records)
         self.leader.update_upstreams(records)
 
@@ -306,20 +311,20 @@
         links = self.broadcast.routes.links()
         return links if self.leader_vm is None else links | {self.leader_vm}
 
-    def _on_entry_update(self, vm: Vm, msg: NodeNews, as_of: float) -> None:
-        self.quota.hear(vm, msg.used, as_of)
+    def _on_entry_update(self, vm: Vm, msg: EntryUpdate, as_of: float) -> None:
+        self.quota.receive(vm, msg.usage, as_of)
         self.dispatcher.receive_entry_update(vm, msg)
         self.leader.receive_entry_update(vm, msg)
 
-    def _on_inventory_update(self, vm: Vm, msg: HoldingNews) -> None:
+    def _on_inventory_update(self, vm: Vm, msg: InventoryUpdate) -> None:
         self.leader_vm = vm
         self.election.receive_inventory_update(vm, msg)
         self.dispatcher.receive_inventory(msg)
 
-    def _publish_inventory(self, msg: HoldingNews) -> None:
+    def _publish_inventory(self, msg: InventoryUpdate) -> None:
         self.leader_vm = None
         self.dispatcher.receive_inventory(msg)
-        models = frozenset(msg.models), frozenset(msg.coming)
+        models = frozenset(msg.models), frozenset(msg.loading)
         changed = self._published_models.get(msg.upstream) != models
         self._published_models[msg.upstream] = models
         self.broadcast.publish(msg, urgent=changed)
@@ -344,21 +349,21 @@
         """Return whether a process other than ``old`` has connected from a VM."""
         return self.broadcast.incarnation(vm) not in (None, old)
 
-    def _request_load(self, msg: Want) -> None:
+    def _request_load(self, msg: LoadRequest) -> None:
         self.leader.receive_load_request(self.vm, msg)
         if self.election.epoch() is not None:
             return
         if self.leader_vm is None or not self.mesh.send(self.leader_vm, msg):
             self.broadcast.publish(msg)
 
-    def _request_limit(self, msg: LimitAsk) -> None:
+    def _request_limit(self, msg: LimitRequest) -> None:
         """Request a slot at an upstream; unanswered while there is no leader."""
         if self.election.epoch() is not None:
-            self.limits.hear_grant(self.limits.grant(self.vm, msg))
+            self.limits.receive_grant(self.limits.grant(self.vm, msg))
         elif self.leader_vm is not None:
             self.mesh.send(self.leader_vm, msg)
 
-    def _on_limit_request(self, vm: Vm, msg: LimitAsk) -> None:
+    def _on_limit_request(self, vm: Vm, msg: LimitRequest) -> None:
         if self.election.epoch() is not None:
             self.mesh.send(vm, self.limits.grant(vm, msg))
 
@@ -398,13 +403,13 @@
             try:
                 self.upstreams.expire()
                 self.dispatcher.tick()
-                if time.monotonic() - published_at >= NEWS_EVERY:
+                if time.monotonic() - published_at >= UPDATE_INTERVAL_S:
                     published_at = time.monotonic()
                     self._publish_entry_update()
-                crash_update = self.poison.news()
+                crash_update = self.poison.next_update()
                 if crash_update is not None:
                     self.broadcast.publish(crash_update, urgent=True)
-                limit_update = self.limits.news()
+                limit_update = self.limits.next_update()
                 if limit_update is not None:
                     self.broadcast.publish(limit_update, urgent=True)
                 self.broadcast.flush()
@@ -420,7 +425,7 @@
         return routes.children | (routes.across if routes.leads else frozenset())
 
     def _publish_entry_update(self) -> None:
-        update = replace(self.dispatcher.entry_update(), used=self.quota.used())
+        update = replace(self.dispatcher.entry_update(), usage=self.quota.tokens_used())
         self.leader.receive_entry_update(self.vm, update)
         self.broadcast.publish(self.update_delta.compute(update, time.monotonic()))
 
--- a/src/persimmonhitch/direct/news.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Use:
+class ModelUse:
     """A model, and its adapter if there is one, that calls use."""
 
     model: Model
@@ -25,74 +25,74 @@
 
 
 @dataclass(frozen=True)
-class Running:
+class UpstreamWork:
     """Work that one entry has at one upstream at this moment."""
 
     upstream: Upstream
     requests: int
     tokens: int
     """Prompt and most output of its requests, as memory they may take."""
-    unread: int
+    prefill_tokens: int
     """Prompt tokens of requests whose first token has not come yet."""
-    uses: tuple[Use, ...] = ()
+    model_uses: tuple[ModelUse, ...] = ()
 
 
 @message(67)
 @dataclass(frozen=True)
-class NodeNews:
+class EntryUpdate:
     """What one entry spends, runs and is asked for, as far as it has changed.
 
     ``used`` and ``asked`` are sums since the start of the process, and ``running`` is
     what runs now, so that a lost or doubled message counts nothing twice.
     """
 
-    used: dict[Account, float]
-    asked: dict[Model, float]
-    running: tuple[Running, ...]
-    whole: bool = True
+    usage: dict[Account, float]
+    demand: dict[Model, float]
+    work: tuple[UpstreamWork, ...]
+    is_full: bool = True
     """Whether this is all; what is not in it is then nothing."""
 
 
 @message(68)
 @dataclass(frozen=True)
-class Want:
+class LoadRequest:
     """Asks the holder of the orders lease for a model, or an adapter somewhere."""
 
     model: Model
     adapter: Adapter | None
     upstream: Upstream | None
-    asked: float = 0.0
+    demand: float = 0.0
     """What callers have asked of the model at the sender, as in ``NodeNews``."""
 
 
 @message(71)
 @dataclass(frozen=True)
-class HoldingNews:
+class InventoryUpdate:
     """What an engine holds, from the one that gives it orders."""
 
     upstream: Upstream
-    born: int
-    orders: int
+    started_at_ms: int
+    order_count: int
     models: dict[Model, tuple[Adapter, ...]]
-    coming: dict[Model, float]
+    loading: dict[Model, float]
     """Models that are being loaded, with the seconds left."""
     epoch: Epoch = Epoch(0)
-    number: int = 0
+    sequence: int = 0
     """Rises with each message under an epoch; they reach an entry by several ways."""
 
 
 @message(63)
 @dataclass(frozen=True)
-class Renewed:
+class LeaseRenewed:
     """The holder of the lease tells the version that it wrote ``age`` seconds ago."""
 
     version: int
-    age: float
+    age_s: float
 
 
 @message(64)
 @dataclass(frozen=True)
-class StoreAsk:
+class StoreProbe:
     """The holder of the lease can't reach the store and asks whether others can."""
 
     epoch: Epoch
@@ -100,32 +100,32 @@
 
 @message(65)
 @dataclass(frozen=True)
-class StoreAnswer:
+class StoreProbeReply:
     """Answers a ``StoreAsk`` of an epoch."""
 
     epoch: Epoch
-    reached: bool
+    reachable: bool
 
 
 @message(66)
 @dataclass(frozen=True)
-class Resigned:
+class LeaseReleased:
     """The sender gives orders under an epoch no more.
 
     ``ages`` are the seconds since its last order to each engine.
     """
 
     epoch: Epoch
-    ages: dict[Upstream, float]
+    order_ages_s: dict[Upstream, float]
 
 
 @dataclass(frozen=True)
-class Item:
+class BroadcastItem:
     """One message that goes to all entries, by whatever way it reaches them."""
 
     origin: Vm
     incarnation: Incarnation
-    number: int
+    sequence: int
     """Rises with each message of its origin's process."""
     age_ms: int
     """How long it has waited in entries that passed it on."""
@@ -134,32 +134,32 @@
 
 @message(69)
 @dataclass(frozen=True)
-class Bundle:
+class BroadcastBatch:
     """Messages for all, from one neighbour to another; an empty one tells it lives."""
 
-    way: Way
-    items: tuple[Item, ...]
+    direction: Way
+    items: tuple[BroadcastItem, ...]
 
 
 @dataclass(frozen=True)
-class Crashed:
+class CrashReport:
     """An upstream that may have crashed, and the calls that were lost there."""
 
     upstream: Upstream
-    born: int
+    started_at_ms: int
     age_ms: int
     confirmed: bool
     """Whether the upstream takes no connections any more."""
-    calls: dict[Fingerprint, bool]
+    lost: dict[Fingerprint, bool]
     """Whether each had just begun to run, or not answered yet."""
 
 
 @dataclass(frozen=True)
-class SeenAlive:
+class LivenessReport:
     """An upstream that lived some milliseconds ago."""
 
     upstream: Upstream
-    born: int
+    started_at_ms: int
     age_ms: int
 
 
@@ -167,20 +167,20 @@
 class Trial:
     """A suspected call that runs at an upstream, or is about to run at one."""
 
-    call: Fingerprint
+    fingerprint: Fingerprint
     upstream: Upstream | None
 
 
 @message(72)
 @dataclass(frozen=True)
-class CrashNews:
+class CrashUpdate:
     """What one entry saw of crashes and of the calls that may be to blame.
 
     ``crashes``, ``alive`` and ``completed`` are told again for a while, and count once.
     """
 
-    crashes: tuple[Crashed, ...]
-    alive: tuple[SeenAlive, ...]
+    crashes: tuple[CrashReport, ...]
+    alive: tuple[LivenessReport, ...]
     completed: dict[Fingerprint, int]
     """Milliseconds since suspected calls came to their end."""
     trials: tuple[Trial, ...]
@@ -190,21 +190,21 @@
 
 
 @dataclass(frozen=True)
-class NamedLimit:
+class ReportedLimit:
     """What an upstream's newest answer says of its limit."""
 
     upstream: Upstream
-    born: int
-    named: bool
+    started_at_ms: int
+    is_limited: bool
     """Whether it names one; it has ended if not."""
-    per_second: float | None
+    rate_per_s: float | None
     """None if it can't be read."""
     age_ms: int
 
 
 @message(76)
 @dataclass(frozen=True)
-class EraNews:
+class EraUpdate:
     """The store has come back from a copy; ``era`` rises each time."""
 
     era: int
@@ -212,19 +212,19 @@
 
 @message(73)
 @dataclass(frozen=True)
-class LimitNews:
+class LimitUpdate:
     """Limits that upstreams told the sender, or that have ended."""
 
-    limits: tuple[NamedLimit, ...]
+    limits: tuple[ReportedLimit, ...]
 
 
 @message(74)
 @dataclass(frozen=True)
-class LimitAsk:
+class LimitRequest:
     """Asks the coordinator for a place at an upstream that takes ``rate`` a second."""
 
     upstream: Upstream
-    born: int
+    started_at_ms: int
     rate: float
 
 
@@ -234,6 +234,6 @@
     """Answers a ``LimitAsk``: a place now, or milliseconds until it may ask again."""
 
     upstream: Upstream
-    born: int
-    to: Vm
+    started_at_ms: int
+    recipient: Vm
     wait_ms: int
--- a/src/persimmonhitch/direct/peer_work.py
+++ b/src/persimmonhitch/direct/peer_work.py
@@ -5,32 +5,32 @@
 from typing import Final
 
 from ..ids import Upstream, Vm
-from .news import NodeNews, Running, Use
+from .peer_messages import EntryUpdate, ModelUse, UpstreamWork
 
-PEER_NEWS_LIFE: Final = 1.5
+PEER_UPDATE_TTL_S: Final = 1.5
 """Seconds after which a silent peer's work counts as done; what a parent that has died
 no longer passes on comes by another way before that."""
 
 
 @dataclass
-class Sum:
+class WorkTotals:
     """Work of all peers at one upstream."""
 
     requests: int = 0
     tokens: int = 0
-    unread: int = 0
+    prefill_tokens: int = 0
 
-    def add(self, item: Running, sign: int) -> None:
+    def add(self, work: UpstreamWork, sign: int) -> None:
         """Count one peer's work, or take it off."""
-        self.requests += sign * item.requests
-        self.tokens += sign * item.tokens
-        self.unread += sign * item.unread
+        self.requests += sign * work.requests
+        self.tokens += sign * work.tokens
+        self.prefill_tokens += sign * work.prefill_tokens
 
 
 @dataclass
 class _Peer:
-    heard_at: float
-    running: dict[Upstream, Running] = field(default_factory=dict)
+    received_at: float
+    work: dict[Upstream, UpstreamWork] = field(default_factory=dict)
 
 
 class PeerWork:
@@ -41,48 +41,48 @@
 
     def __init__(self) -> None:
         self._peers: dict[Vm, _Peer] = {}
-        self._sums: defaultdict[Upstream, Sum] = defaultdict(Sum)
+        self._totals: defaultdict[Upstream, WorkTotals] = defaultdict(WorkTotals)
 
-    def hear(self, vm: Vm, msg: NodeNews, now: float) -> None:
+    def receive(self, vm: Vm, msg: EntryUpdate, now: float) -> None:
         """Take what a peer runs, or what has changed of it."""
         peer = self._peers.setdefault(vm, _Peer(now))
-        peer.heard_at = now
-        if msg.whole:
-            told = {item.upstream for item in msg.running}
-            for name in [name for name in peer.running if name not in told]:
-                self._sums[name].add(peer.running.pop(name), -1)
-        for item in msg.running:
+        peer.received_at = now
+        if msg.is_full:
+            reported = {item.upstream for item in msg.work}
+            for name in [name for name in peer.work if name not in reported]:
+                self._totals[name].add(peer.work.pop(name), -1)
+        for item in msg.work:
             self._replace(peer, item)
 
-    def _replace(self, peer: _Peer, item: Running) -> None:
-        total = self._sums[item.upstream]
-        old = peer.running.pop(item.upstream, None)
-        if old is not None:
-            total.add(old, -1)
-        if item.requests:
-            total.add(item, 1)
-            peer.running[item.upstream] = item
+    def _replace(self, peer: _Peer, work: UpstreamWork) -> None:
+        totals = self._totals[work.upstream]
+        previous = peer.work.pop(work.upstream, None)
+        if previous is not None:
+            totals.add(previous, -1)
+        if work.requests:
+            totals.add(work, 1)
+            peer.work[work.upstream] = work
 
     def expire(self, now: float) -> None:
         """Forget peers that have said nothing for long."""
-        silent = [
+        expired = [
             vm
             for vm, peer in self._peers.items()
-            if now - peer.heard_at > PEER_NEWS_LIFE
+            if now - peer.received_at > PEER_UPDATE_TTL_S
         ]
-        for vm in silent:
-            for item in self._peers.pop(vm).running.values():
-                self._sums[item.upstream].add(item, -1)
+        for vm in expired:
+            for item in self._peers.pop(vm).work.values():
+                self._totals[item.upstream].add(item, -1)
 
-    def at(self, upstream: Upstream) -> Sum:
+    def totals_at(self, upstream: Upstream) -> WorkTotals:
         """Return the work of all peers at an upstream."""
-        return self._sums.get(upstream) or Sum()
+        return self._totals.get(upstream) or WorkTotals()
 
-    def uses(self, upstream: Upstream) -> set[Use]:
+    def model_uses(self, upstream: Upstream) -> set[ModelUse]:
         """Return what calls of peers use at an upstream."""
-        found = (peer.running.get(upstream) for peer in self._peers.values())
-        return {use for item in found if item is not None for use in item.uses}
+        work = (peer.work.get(upstream) for peer in self._peers.values())
+        return {use for item in work if item is not None for use in item.model_uses}
 
-    def running(self) -> list[Running]:
+    def all_work(self) -> list[UpstreamWork]:
         """Return all work that peers have told."""
-        return [item for peer in self._peers.values() for item in peer.running.values()]
+        return [item for peer in self._peers.values() for item in peer.work.values()]
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -16,27 +16,27 @@
 from ..ids import Fingerprint, Upstream, Vm
 from ..observe.logs import log
 from ..verdict import ErrorCode, Failure
-from .news import Crashed, CrashNews, SeenAlive, Trial
+from .peer_messages import CrashReport, CrashUpdate, LivenessReport, Trial
 
-CHECK_AFTER: Final = 0.1
+CHECK_DELAY_S: Final = 0.1
 """Seconds after a loss at which the upstream is asked whether it takes connections."""
-RETELL_EVERY: Final = 2.0
+RESEND_INTERVAL_S: Final = 2.0
 """Seconds after which all is told again, for entries that have missed some."""
-RETELL_LIFE: Final = 60.0
+RESEND_TTL_S: Final = 60.0
 """Seconds for which an entry goes on telling what it saw."""
-ANNOUNCE: Final = 0.25
+ANNOUNCE_DURATION_S: Final = 0.25
 """Seconds for which the others are told of a suspected call before it is sent; two
 entries that send it at once would both lose an upstream."""
-ANNOUNCED_LIFE: Final = 0.3
+ANNOUNCEMENT_TTL_S: Final = 0.3
 """Seconds after which a call is not announced any more that nobody waits to send."""
-EXPIRE_EVERY: Final = 1.0
+EXPIRY_INTERVAL_S: Final = 1.0
 """Seconds between two looks at what is old."""
-TRIALS_LIFE: Final = 2.5
+TRIAL_TTL_S: Final = 2.5
 """Seconds after which a silent peer's calls count as ended."""
 
 
 @dataclass
-class _Seen:
+class _LocalCrash:
     """What this entry saw of one crash."""
 
     record: UpstreamRecord
@@ -53,13 +53,13 @@
 
 
 @dataclass
-class _Announced:
-    since: float
-    wanted_at: float
+class _Announcement:
+    started_at: float
+    requested_at: float
     """When a call last waited to be sent."""
 
 
-def start_of(record: UpstreamRecord) -> UpstreamStart:
+def instance_of(record: UpstreamRecord) -> UpstreamStart:
     """Return which life of an upstream a record is of."""
     return UpstreamStart(record.name, record.born)
 
@@ -81,147 +81,156 @@
         self,
         vm: Vm,
         clock: Callable[[], float] = time.monotonic,
-        changed: Callable[[], None] = lambda: None,
-        alone: Callable[[], bool] = lambda: False,
+        on_change: Callable[[], None] = lambda: None,
+        is_isolated: Callable[[], bool] = lambda: False,
     ) -> None:
         self._vm = vm
         self._clock = clock
-        self._changed = changed
-        self._alone = alone
+        self._on_change = on_change
+        self._is_isolated = is_isolated
         self._lock = threading.Lock()
         self._history = CrashHistory()
         self._running: dict[Fingerprint, Counter[Upstream]] = {}
-        self._announced: dict[Fingerprint, _Announced] = {}
+        self._announced: dict[Fingerprint, _Announcement] = {}
         self._peers: dict[Vm, _PeerTrials] = {}
-        self._seen: dict[UpstreamStart, _Seen] = {}
+        self._crashes: dict[UpstreamStart, _LocalCrash] = {}
         self._alive: dict[UpstreamStart, float] = {}
         self._completed: dict[Fingerprint, float] = {}
-        self._judged: dict[Fingerprint, float] = {}
+        self._own_blocked: dict[Fingerprint, float] = {}
         """Calls that were judged here, and when."""
-        self._untold: set[UpstreamStart | Fingerprint] = set()
+        self._unsent: set[UpstreamStart | Fingerprint] = set()
         """What of all this the others have not been told yet."""
-        self._due = False
-        self._told_at = -math.inf
+        self._update_due = False
+        self._full_update_at = -math.inf
         self._expired_at = -math.inf
 
     # -- calls -------------------------------------------------------------------
 
-    def refusal(self, call: Fingerprint) -> Failure | None:
+    def refusal(self, fingerprint: Fingerprint) -> Failure | None:
         """Return why a call is not sent to any upstream, if it is not."""
         with self._lock:
-            left = self._history.blocked_for(call, self._clock())
-            accused = self._history.blame(call) is not None
-        if left is not None:
+            remaining_s = self._history.blocked_for(fingerprint, self._clock())
+            is_suspected = self._history.blame(fingerprint) is not None
+        if remaining_s is not None:
             reason = "upstreams crashed each time that this request ran"
-            return Failure(ErrorCode.CRASHES_UPSTREAMS, reason, retry_after=left)
-        if accused and self._alone():
+            return Failure(ErrorCode.CRASHES_UPSTREAMS, reason, retry_after=remaining_s)
+        if is_suspected and self._is_isolated():
             # The others may have seen it crash more; they take its caller's next try.
             reason = (
                 "an upstream crashed while this request ran; another entry may know"
             )
-            return Failure(ErrorCode.OVERLOADED, reason, retry_after=_soon())
+            return Failure(ErrorCode.OVERLOADED, reason, retry_after=_retry_after_s())
         return None
 
-    def hold_back(self, need: Need, lanes: Iterable[Lane]) -> None:
+    def exclude_upstreams(self, request: Need, views: Iterable[Lane]) -> None:
         """Close lanes to a suspected call that may not run there now."""
         with self._lock:
-            if not self._history.is_suspect(need.call):
+            if not self._history.is_suspect(request.call):
                 return
             now = self._clock()
-            waits = not self._is_its_turn(need.call, now)
-            taken = {trial.upstream for trial in self._trials(now)}
-        for lane in lanes:
-            if waits or lane.upstream in taken:
-                lane.trust = 0.0
+            must_wait = not self._may_run_trial(request.call, now)
+            trial_upstreams = {trial.upstream for trial in self._all_trials(now)}
+        for view in views:
+            if must_wait or view.upstream in trial_upstreams:
+                view.trust = 0.0
 
-    def _is_its_turn(self, call: Fingerprint, now: float) -> bool:
+    def _may_run_trial(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether a suspected call may be sent; announce it before."""
-        if self._history.waits_for_proof(call, now) or call in self._running:
+        if (
+            self._history.waits_for_proof(fingerprint, now)
+            or fingerprint in self._running
+        ):
             return False
         for vm, trial in self._peer_trials(now):
-            if trial.call == call and (trial.upstream is not None or vm < self._vm):
-                self._announced.pop(call, None)
+            if trial.fingerprint == fingerprint and (
+                trial.upstream is not None or vm < self._vm
+            ):
+                self._announced.pop(fingerprint, None)
                 return False
-        announced = self._announced.get(call)
-        if announced is None or now - announced.wanted_at > ANNOUNCED_LIFE:
-            announced = self._announced[call] = _Announced(now, now)
-            self._note_change()
-        announced.wanted_at = now
-        return now - announced.since >= ANNOUNCE
-
-    def trial_refusal(self, call: Fingerprint) -> Failure | None:
+        announcement = self._announced.get(fingerprint)
+        if announcement is None or now - announcement.requested_at > ANNOUNCEMENT_TTL_S:
+            announcement = self._announced[fingerprint] = _Announcement(now, now)
+            self._mark_changed()
+        announcement.requested_at = now
+        return now - announcement.started_at >= ANNOUNCE_DURATION_S
+
+    def trial_refusal(self, fingerprint: Fingerprint) -> Failure | None:
         """Return what a suspected call is told that found no place."""
         with self._lock:
-            suspect = self._history.is_suspect(call)
+            suspect = self._history.is_suspect(fingerprint)
         if not suspect:
             return None
         reason = "upstreams crashed while this request ran; it waits to run apart"
-        return Failure(ErrorCode.OVERLOADED, reason, retry_after=_soon())
+        return Failure(ErrorCode.OVERLOADED, reason, retry_after=_retry_after_s())
 
-    def started(self, call: Fingerprint, upstream: Upstream) -> None:
+    def started(self, fingerprint: Fingerprint, upstream: Upstream) -> None:
         """Note that a call is sent."""
         with self._lock:
-            self._announced.pop(call, None)
-            self._running.setdefault(call, Counter())[upstream] += 1
-            if self._history.is_suspect(call):
-                self._note_change()
+            self._announced.pop(fingerprint, None)
+            self._running.setdefault(fingerprint, Counter())[upstream] += 1
+            if self._history.is_suspect(fingerprint):
+                self._mark_changed()
 
-    def ended(self, call: Fingerprint, upstream: Upstream) -> None:
+    def ended(self, fingerprint: Fingerprint, upstream: Upstream) -> None:
         """Note that an attempt has ended, however it ended."""
         with self._lock:
-            counts = self._running[call]
+            counts = self._running[fingerprint]
             counts[upstream] -= 1
             if not counts[upstream]:
                 del counts[upstream]
             if not counts:
-                del self._running[call]
-            if self._history.is_suspect(call):
-                self._note_change()
+                del self._running[fingerprint]
+            if self._history.is_suspect(fingerprint):
+                self._mark_changed()
 
-    def lost(self, call: Fingerprint, record: UpstreamRecord, fresh: bool) -> None:
+    def connection_lost(
+        self, fingerprint: Fingerprint, record: UpstreamRecord, fresh: bool
+    ) -> None:
         """Note that a call was lost with the connection to its upstream."""
         now = self._clock()
-        start = start_of(record)
+        instance = instance_of(record)
         with self._lock:
-            seen = self._seen.setdefault(start, _Seen(record, now, now + CHECK_AFTER))
-            seen.at = now
-            seen.lost[call] = fresh or seen.lost.get(call, False)
-            self._history.lost(start, {call: fresh}, now, now)
-            self._note_change(start)
+            crash = self._crashes.setdefault(
+                instance, _LocalCrash(record, now, now + CHECK_DELAY_S)
+            )
+            crash.at = now
+            crash.lost[fingerprint] = fresh or crash.lost.get(fingerprint, False)
+            self._history.lost(instance, {fingerprint: fresh}, now, now)
+            self._mark_changed(instance)
 
     def answered(self, record: UpstreamRecord, sent_at: float) -> None:
         """Note that an upstream has answered a request that was sent at a time."""
-        start = start_of(record)
+        instance = instance_of(record)
         with self._lock:
-            if not self._history.crashed(start):
+            if not self._history.crashed(instance):
                 return
-            if self._history.alive(start, sent_at):
-                self._refuted(start, sent_at)
+            if self._history.alive(instance, sent_at):
+                self._refute(instance, sent_at)
 
-    def completed(self, call: Fingerprint) -> None:
+    def completed(self, fingerprint: Fingerprint) -> None:
         """Note that a call came to its end."""
         now = self._clock()
         with self._lock:
-            if self._history.blame(call) is None:
+            if self._history.blame(fingerprint) is None:
                 return
-            if self._history.completed(call, now):
-                log("call_cleared", call=call)
-                self._clear(call, now)
-                self._completed[call] = now
-                self._note_change(call)
+            if self._history.completed(fingerprint, now):
+                log("call_cleared", call=fingerprint)
+                self._drop_losses(fingerprint, now)
+                self._completed[fingerprint] = now
+                self._mark_changed(fingerprint)
 
-    def _clear(self, call: Fingerprint, at: float) -> None:
+    def _drop_losses(self, fingerprint: Fingerprint, completed_at: float) -> None:
         """Tell no more of a call that came to its end after it was lost."""
-        for seen in self._seen.values():
-            if seen.at <= at:
-                seen.lost.pop(call, None)
+        for crash in self._crashes.values():
+            if crash.at <= completed_at:
+                crash.lost.pop(fingerprint, None)
 
     def unreachable(self, record: UpstreamRecord) -> None:
         """Note that an upstream takes no connection."""
-        start = start_of(record)
+        instance = instance_of(record)
         with self._lock:
-            if self._history.crashed(start):
-                self._confirm(start)
+            if self._history.crashed(instance):
+                self._confirm(instance)
 
     # -- whether upstreams have ended ----------------------------------------------
 
@@ -229,198 +238,200 @@
         """Return upstreams to connect to now, each once for a loss."""
         now = self._clock()
         with self._lock:
-            due = [seen for seen in self._seen.values() if seen.check_at <= now]
-            for seen in due:
-                seen.check_at = math.inf
-        return [seen.record for seen in due if not seen.confirmed]
+            due = [crash for crash in self._crashes.values() if crash.check_at <= now]
+            for crash in due:
+                crash.check_at = math.inf
+        return [crash.record for crash in due if not crash.confirmed]
 
-    def listed(self, records: Iterable[UpstreamRecord]) -> None:
+    def update_upstreams(self, records: Iterable[UpstreamRecord]) -> None:
         """Take the list of upstreams; one that started anew has ended before."""
         with self._lock:
-            if not self._seen:
+            if not self._crashes:
                 return
-            found = list(records)
-            by_name = {record.name: record for record in found}
-            by_address = {(record.host, record.port): record for record in found}
-            for start, seen in list(self._seen.items()):
-                address = seen.record.host, seen.record.port
-                now = by_name.get(start.name) or by_address.get(address)
-                if now is not None and start_of(now) != start:
-                    self._confirm(start)
-
-    def _confirm(self, start: UpstreamStart) -> None:
-        if start in self._seen:
-            self._seen[start].confirmed = True
-        if not self._history.confirm(start):
+            listed = list(records)
+            by_name = {record.name: record for record in listed}
+            by_address = {(record.host, record.port): record for record in listed}
+            for instance, crash in list(self._crashes.items()):
+                address = crash.record.host, crash.record.port
+                current = by_name.get(instance.name) or by_address.get(address)
+                if current is not None and instance_of(current) != instance:
+                    self._confirm(instance)
+
+    def _confirm(self, instance: UpstreamStart) -> None:
+        if instance in self._crashes:
+            self._crashes[instance].confirmed = True
+        if not self._history.confirm(instance):
             return
-        log("upstream_crashed", upstream=start.name, born=start.born)
-        self._note_change(start)
-        self._judge()
+        log("upstream_crashed", upstream=instance.name, born=instance.born)
+        self._mark_changed(instance)
+        self._block_attributed()
 
-    def _refuted(self, start: UpstreamStart, at: float) -> None:
-        log("crash_refuted", upstream=start.name, born=start.born)
-        self._seen.pop(start, None)
-        self._alive[start] = at
-        self._note_change(start)
+    def _refute(self, instance: UpstreamStart, alive_at: float) -> None:
+        log("crash_refuted", upstream=instance.name, born=instance.born)
+        self._crashes.pop(instance, None)
+        self._alive[instance] = alive_at
+        self._mark_changed(instance)
 
-    def _judge(self) -> None:
+    def _block_attributed(self) -> None:
         now = self._clock()
-        for call in self._history.judge(now):
-            left = self._history.blocked_for(call, now)
-            log("call_blocked", call=call, seconds=left, source="judged")
-            self._judged[call] = now
-            self._note_change(call)
+        for fingerprint in self._history.judge(now):
+            remaining_s = self._history.blocked_for(fingerprint, now)
+            log("call_blocked", call=fingerprint, seconds=remaining_s, source="judged")
+            self._own_blocked[fingerprint] = now
+            self._mark_changed(fingerprint)
 
     # -- what entries tell each other ----------------------------------------------
 
-    def news(self) -> CrashNews | None:
+    def next_update(self) -> CrashUpdate | None:
         """Return what the others have to hear now, None if there is nothing."""
         now = self._clock()
         with self._lock:
-            self._forget(now)
-            self._judge()
-            whole = now - self._told_at >= RETELL_EVERY
-            if not (self._due or (whole and self._has_news())):
+            self._expire(now)
+            self._block_attributed()
+            is_full = now - self._full_update_at >= RESEND_INTERVAL_S
+            if not (self._update_due or (is_full and self._has_observations())):
                 return None
-            if whole:
-                self._told_at = now
-            news = self._news(now, whole)
-            self._due = False
-            self._untold.clear()
-            return news
-
-    def _news(self, now: float, whole: bool) -> CrashNews:
+            if is_full:
+                self._full_update_at = now
+            update = self._build_update(now, is_full)
+            self._update_due = False
+            self._unsent.clear()
+            return update
+
+    def _build_update(self, now: float, is_full: bool) -> CrashUpdate:
         def is_due(key: UpstreamStart | Fingerprint) -> bool:
-            return whole or key in self._untold
+            return is_full or key in self._unsent
 
         crashes = tuple(
-            Crashed(
-                start.name,
-                start.born,
-                _age_ms(now, seen.at),
-                seen.confirmed,
-                dict(seen.lost),
+            CrashReport(
+                instance.name,
+                instance.born,
+                _age_ms(now, crash.at),
+                crash.confirmed,
+                dict(crash.lost),
             )
-            for start, seen in self._seen.items()
-            if is_due(start)
+            for instance, crash in self._crashes.items()
+            if is_due(instance)
         )
         alive = tuple(
-            SeenAlive(start.name, start.born, _age_ms(now, at))
-            for start, at in self._alive.items()
-            if is_due(start)
+            LivenessReport(instance.name, instance.born, _age_ms(now, at))
+            for instance, at in self._alive.items()
+            if is_due(instance)
         )
         completed = {
-            call: _age_ms(now, at)
-            for call, at in self._completed.items()
-            if is_due(call)
+            fingerprint: _age_ms(now, at)
+            for fingerprint, at in self._completed.items()
+            if is_due(fingerprint)
         }
         blocked = {
-            call: int(left)
-            for call in self._judged
-            if is_due(call)
-            and (left := self._history.blocked_for(call, now)) is not None
+            fingerprint: int(remaining_s)
+            for fingerprint in self._own_blocked
+            if is_due(fingerprint)
+            and (remaining_s := self._history.blocked_for(fingerprint, now)) is not None
         }
-        trials = sorted(self._own_trials(), key=lambda t: (t.call, t.upstream or ""))
-        return CrashNews(crashes, alive, completed, tuple(trials), blocked)
+        trials = sorted(self._trials(), key=lambda t: (t.fingerprint, t.upstream or ""))
+        return CrashUpdate(crashes, alive, completed, tuple(trials), blocked)
 
-    def hear(self, vm: Vm, msg: CrashNews, as_of: float) -> None:
+    def receive(self, vm: Vm, msg: CrashUpdate, as_of: float) -> None:
         """Take what another entry saw, which was so at ``as_of``."""
         with self._lock:
             now = self._clock()
             self._peers[vm] = _PeerTrials(now, msg.trials)
             for crash in msg.crashes:
-                start = UpstreamStart(crash.upstream, crash.born)
+                instance = UpstreamStart(crash.upstream, crash.started_at_ms)
                 at = as_of - crash.age_ms / 1000
-                self._history.lost(start, crash.calls, at, now)
+                self._history.lost(instance, crash.lost, at, now)
                 if crash.confirmed:
-                    self._history.confirm(start)
-            for seen in msg.alive:
-                start = UpstreamStart(seen.upstream, seen.born)
-                if self._history.alive(start, as_of - seen.age_ms / 1000):
-                    self._seen.pop(start, None)
-            for call, age_ms in msg.completed.items():
+                    self._history.confirm(instance)
+            for report in msg.alive:
+                instance = UpstreamStart(report.upstream, report.started_at_ms)
+                if self._history.alive(instance, as_of - report.age_ms / 1000):
+                    self._crashes.pop(instance, None)
+            for fingerprint, age_ms in msg.completed.items():
                 at = as_of - age_ms / 1000
-                self._history.completed(call, at)
-                self._clear(call, at)
-            self._take_blocked({c: as_of + s for c, s in msg.blocked.items()}, vm)
-            self._judge()
+                self._history.completed(fingerprint, at)
+                self._drop_losses(fingerprint, at)
+            self._add_blocked({f: as_of + s for f, s in msg.blocked.items()}, vm)
+            self._block_attributed()
 
-    def hear_blocked(self, blocked: Mapping[Fingerprint, float]) -> None:
+    def receive_blocked(self, blocked: Mapping[Fingerprint, float]) -> None:
         """Take calls that the store has as blocked, with the time until which."""
         with self._lock:
-            self._take_blocked(blocked, "store")
+            self._add_blocked(blocked, "store")
 
     def blocked(self) -> dict[Fingerprint, float]:
         """Return blocked calls with the monotonic time until which they are."""
         with self._lock:
             return dict(self._history.blocked())
 
-    def _take_blocked(self, blocked: Mapping[Fingerprint, float], source: str) -> None:
+    def _add_blocked(self, blocked: Mapping[Fingerprint, float], source: str) -> None:
         now = self._clock()
-        for call, until in blocked.items():
-            if until > now and self._history.block(call, until):
-                log("call_blocked", call=call, seconds=until - now, source=source)
+        for fingerprint, until in blocked.items():
+            if until > now and self._history.block(fingerprint, until):
+                log(
+                    "call_blocked", call=fingerprint, seconds=until - now, source=source
+                )
 
-    def _note_change(self, key: UpstreamStart | Fingerprint | None = None) -> None:
+    def _mark_changed(self, key: UpstreamStart | Fingerprint | None = None) -> None:
         """Have the others told at once; ``key`` is what is new to tell, if not a trial.
 
         Trials are told in full each time.
         """
         if key is not None:
-            self._untold.add(key)
-        self._due = True
-        self._changed()
+            self._unsent.add(key)
+        self._update_due = True
+        self._on_change()
 
-    def _has_news(self) -> bool:
-        seen = self._seen or self._alive or self._completed or self._judged
-        return bool(seen or self._own_trials())
+    def _has_observations(self) -> bool:
+        found = self._crashes or self._alive or self._completed or self._own_blocked
+        return bool(found or self._trials())
 
-    def _forget(self, now: float) -> None:
-        if now - self._expired_at < EXPIRE_EVERY:
+    def _expire(self, now: float) -> None:
+        if now - self._expired_at < EXPIRY_INTERVAL_S:
             return
         self._expired_at = now
         self._announced = {
-            call: announced
-            for call, announced in self._announced.items()
-            if now - announced.wanted_at <= ANNOUNCED_LIFE
+            key: announcement
+            for key, announcement in self._announced.items()
+            if now - announcement.requested_at <= ANNOUNCEMENT_TTL_S
         }
         self._history.expire(now)
-        self._judged = {
-            call: at for call, at in self._judged.items() if now - at <= RETELL_LIFE
+        self._own_blocked = {
+            key: at for key, at in self._own_blocked.items() if now - at <= RESEND_TTL_S
         }
-        self._seen = {
-            start: seen
-            for start, seen in self._seen.items()
-            if now - seen.at <= RETELL_LIFE and self._history.crashed(start)
+        self._crashes = {
+            instance: crash
+            for instance, crash in self._crashes.items()
+            if now - crash.at <= RESEND_TTL_S and self._history.crashed(instance)
         }
-        self._alive = {s: a for s, a in self._alive.items() if now - a <= RETELL_LIFE}
+        self._alive = {i: a for i, a in self._alive.items() if now - a <= RESEND_TTL_S}
         self._completed = {
-            call: at for call, at in self._completed.items() if now - at <= RETELL_LIFE
+            key: at for key, at in self._completed.items() if now - at <= RESEND_TTL_S
         }
         self._peers = {
-            vm: told for vm, told in self._peers.items() if now - told.at <= TRIALS_LIFE
+            vm: peer for vm, peer in self._peers.items() if now - peer.at <= TRIAL_TTL_S
         }
 
-    def _own_trials(self) -> set[Trial]:
+    def _trials(self) -> set[Trial]:
         running = {
-            Trial(call, upstream)
-            for call in self._history.suspects()
-            for upstream in self._running.get(call, ())
+            Trial(fingerprint, upstream)
+            for fingerprint in self._history.suspects()
+            for upstream in self._running.get(fingerprint, ())
         }
-        return running | {Trial(call, None) for call in self._announced}
+        return running | {Trial(fingerprint, None) for fingerprint in self._announced}
 
     def _peer_trials(self, now: float) -> Iterator[tuple[Vm, Trial]]:
-        for vm, told in self._peers.items():
-            if now - told.at <= TRIALS_LIFE:
-                for trial in told.trials:
+        for vm, peer in self._peers.items():
+            if now - peer.at <= TRIAL_TTL_S:
+                for trial in peer.trials:
                     yield vm, trial
 
-    def _trials(self, now: float) -> set[Trial]:
+    def _all_trials(self, now: float) -> set[Trial]:
         """Return which suspected calls run where, of all entries."""
-        return self._own_trials() | {trial for _, trial in self._peer_trials(now)}
+        return self._trials() | {trial for _, trial in self._peer_trials(now)}
 
 
-def _soon() -> float:
+def _retry_after_s() -> float:
     return FULL_RETRY * (1.0 + random.random() * SPREAD)
 
 
--- a/src/persimmonhitch/direct/quota.py
+++ b/src/persimmonhitch/direct/quota.py
@@ -7,7 +7,7 @@
 
 from ..fleet.config import AccountSpec, FleetConfig
 from ..ids import Account, Tokens, Vm
-from ..limits.pooled import SILENT_AFTER, PooledBucket
+from ..limits.pooled import PEER_TIMEOUT_S, PooledBucket
 
 
 class Quota:
@@ -28,16 +28,16 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._buckets: dict[Account, PooledBucket] = {}
-        self._heard: dict[Vm, float] = {}
+        self._received: dict[Vm, float] = {}
 
     def update(self, cfg: FleetConfig) -> None:
         """Take the rates of a new configuration."""
         now = self._clock()
         with self._lock:
             for account in cfg.accounts.values():
-                self._size(account, now)
+                self._resize(account, now)
 
-    def _size(self, account: AccountSpec, now: float) -> None:
+    def _resize(self, account: AccountSpec, now: float) -> None:
         bucket = self._buckets.get(account.name)
         if bucket is None:
             bucket = PooledBucket(account.rate, account.burst, now)
@@ -45,25 +45,25 @@
         else:
             bucket.resize(account.rate, account.burst)
 
-    def take(self, account: Account, cost: Tokens) -> float | None:
+    def spend(self, account: Account, cost: Tokens) -> float | None:
         """Spend tokens; return None, or the seconds until they are there."""
         now = self._clock()
         peers = self._peers()
         with self._lock:
-            ages = [now - self._heard.get(vm, -SILENT_AFTER) for vm in peers]
-            silent = sum(age > SILENT_AFTER for age in ages)
+            ages = [now - self._received.get(vm, -PEER_TIMEOUT_S) for vm in peers]
+            unresponsive = sum(age > PEER_TIMEOUT_S for age in ages)
             bucket = self._buckets[account]
-            bucket.advance(now, silent, len(peers) + 1)
-            late = sum(a for a in ages if a <= SILENT_AFTER) / max(1, len(ages))
-            return bucket.take(cost, late)
+            bucket.advance(now, unresponsive, len(peers) + 1)
+            lag_s = sum(a for a in ages if a <= PEER_TIMEOUT_S) / max(1, len(ages))
+            return bucket.spend(cost, lag_s)
 
-    def hears_nobody(self) -> bool:
+    def is_isolated(self) -> bool:
         """Return whether all other entries are silent, if there are any."""
         now = self._clock()
         peers = self._peers()
         with self._lock:
             return bool(peers) and all(
-                now - self._heard.get(vm, -math.inf) > SILENT_AFTER for vm in peers
+                now - self._received.get(vm, -math.inf) > PEER_TIMEOUT_S for vm in peers
             )
 
     def refund(self, account: Account, cost: Tokens) -> None:
@@ -71,13 +71,13 @@
         with self._lock:
             self._buckets[account].refund(cost)
 
-    def used(self) -> dict[Account, float]:
+    def tokens_used(self) -> dict[Account, float]:
         """Return what each account has spent here."""
         with self._lock:
             return {name: bucket.used for name, bucket in self._buckets.items()}
 
-    def hear(
-        self, vm: Vm, used: Mapping[Account, float], as_of: float | None = None
+    def receive(
+        self, vm: Vm, tokens_used: Mapping[Account, float], as_of: float | None = None
     ) -> None:
         """Take off what a peer has spent, as far as it has changed.
 
@@ -85,8 +85,8 @@
         """
         now = self._clock()
         with self._lock:
-            self._heard[vm] = now if as_of is None else as_of
-            for account, tokens in used.items():
+            self._received[vm] = now if as_of is None else as_of
+            for account, tokens in tokens_used.items():
                 bucket = self._buckets.get(account)
                 if bucket is not None:
-                    bucket.hear(vm, tokens, now)
+                    bucket.receive(vm, tokens, now)
--- a/src/persimmonhitch/direct/update_delta.py
+++ b/src/persimmonhitch/direct/update_delta.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from .news import NodeNews, Running
+from .peer_messages import EntryUpdate, UpstreamWork
 
 FULL_UPDATE_INTERVAL_S: Final = 2.0
 """Seconds between two full updates, for entries that have missed some."""
@@ -13,27 +13,29 @@
 class UpdateDelta:
     """Reduces updates to their changes; times are monotonic seconds."""
 
-    _last_update: NodeNews | None = None
+    _last_update: EntryUpdate | None = None
     _full_at: float = 0.0
 
-    def compute(self, update: NodeNews, now: float) -> NodeNews:
+    def compute(self, update: EntryUpdate, now: float) -> EntryUpdate:
         """Return the part of an update to send: its changes, or all when due."""
         last, self._last_update = self._last_update, update
         if last is None or now - self._full_at >= FULL_UPDATE_INTERVAL_S:
             self._full_at = now
             return update
-        return NodeNews(
-            {k: v for k, v in update.used.items() if last.used.get(k) != v},
-            {k: v for k, v in update.asked.items() if last.asked.get(k) != v},
-            _changed_work(last.running, update.running),
-            whole=False,
+        return EntryUpdate(
+            {k: v for k, v in update.usage.items() if last.usage.get(k) != v},
+            {k: v for k, v in update.demand.items() if last.demand.get(k) != v},
+            _changed_work(last.work, update.work),
+            is_full=False,
         )
 
 
 def _changed_work(
-    last: tuple[Running, ...], current: tuple[Running, ...]
-) -> tuple[Running, ...]:
+    last: tuple[UpstreamWork, ...], current: tuple[UpstreamWork, ...]
+) -> tuple[UpstreamWork, ...]:
     old = set(last)
     upstreams = {item.upstream for item in current}
-    ended = [Running(o.upstream, 0, 0, 0) for o in last if o.upstream not in upstreams]
+    ended = [
+        UpstreamWork(o.upstream, 0, 0, 0) for o in last if o.upstream not in upstreams
+    ]
     return (*(item for item in current if item not in old), *ended)
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -15,26 +15,26 @@
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Upstream, Vm
 from ..observe.logs import log
-from .news import LimitAsk, LimitGrant, LimitNews, NamedLimit
-from .poison import start_of
+from .peer_messages import LimitGrant, LimitRequest, LimitUpdate, ReportedLimit
+from .poison import instance_of
 
-RETELL_EVERY: Final = 2.0
+RESEND_INTERVAL_S: Final = 2.0
 """Seconds after which limits are told again, for entries that have missed some."""
-RETELL_LIFE: Final = 30.0
+RESEND_TTL_S: Final = 30.0
 """Seconds for which an entry goes on telling what an upstream told it."""
-AGAIN_SPREAD: Final = 0.5
+RETRY_JITTER: Final = 0.5
 """Part of a wait by which it is lengthened at random, so that entries that were told to
 wait don't ask again at the same moment."""
 
 
 @dataclass
-class _Known:
+class _LimitState:
     """What was last heard of one upstream's limit."""
 
     limit: RequestLimit | None
     """None if it has ended."""
     rate: float
-    at: float
+    reported_at: float
     """When its answer said so, in monotonic seconds."""
     own_at: float
     """When this entry itself got such an answer."""
@@ -55,22 +55,22 @@
 
     def __init__(
         self,
-        ask: Callable[[LimitAsk], None],
-        entries: Callable[[], int],
+        request_grant: Callable[[LimitRequest], None],
+        entry_count: Callable[[], int],
         clock: Callable[[], float] = time.monotonic,
-        changed: Callable[[], None] = lambda: None,
+        on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self._ask = ask
-        self._entries = entries
+        self._request = request_grant
+        self._entry_count = entry_count
         self._clock = clock
-        self._changed = changed
+        self._on_change = on_change
         # An ask of the coordinator itself is answered within the call.
         self._lock = threading.RLock()
-        self._known: dict[UpstreamStart, _Known] = {}
+        self._states: dict[UpstreamStart, _LimitState] = {}
         self._allowances: dict[Upstream, tuple[UpstreamStart, Allowance]] = {}
         self._grants: dict[UpstreamStart, Grants] = {}
-        self._untold: set[UpstreamStart] = set()
-        self._told_at = -math.inf
+        self._unsent: set[UpstreamStart] = set()
+        self._full_update_at = -math.inf
 
     # -- what upstreams say --------------------------------------------------------
 
@@ -78,95 +78,99 @@
         self, record: UpstreamRecord, limit: RequestLimit | None, sent_at: float
     ) -> None:
         """Take what an answer says to a request that was sent at a time."""
-        if limit is None and not self._known:
+        if limit is None and not self._states:
             return
-        start, now = start_of(record), self._clock()
+        instance, now = instance_of(record), self._clock()
         with self._lock:
-            old = self._known.get(start)
-            if limit is None and (old is None or sent_at <= old.at):
+            old = self._states.get(instance)
+            if limit is None and (old is None or sent_at <= old.reported_at):
                 return
-            before = old.limit if old is not None else None
-            self._learn(start, limit, now, now)
-            if limit != before:
-                self._untold.add(start)
-                self._changed()
+            old_limit = old.limit if old is not None else None
+            self._record(instance, limit, now, now)
+            if limit != old_limit:
+                self._unsent.add(instance)
+                self._on_change()
 
-    def hear(self, _vm: Vm, msg: LimitNews, as_of: float) -> None:
+    def receive(self, _vm: Vm, msg: LimitUpdate, as_of: float) -> None:
         """Take what an upstream told another entry."""
         with self._lock:
             for item in msg.limits:
-                start = UpstreamStart(item.upstream, item.born)
+                instance = UpstreamStart(item.upstream, item.started_at_ms)
                 at = as_of - item.age_ms / 1000
-                old = self._known.get(start)
-                if old is None or at > old.at:
-                    limit = RequestLimit(item.per_second) if item.named else None
-                    self._learn(start, limit, at, old.own_at if old else -math.inf)
-        self._changed()
+                old = self._states.get(instance)
+                if old is None or at > old.reported_at:
+                    limit = RequestLimit(item.rate_per_s) if item.is_limited else None
+                    self._record(instance, limit, at, old.own_at if old else -math.inf)
+        self._on_change()
 
-    def _learn(
-        self, start: UpstreamStart, limit: RequestLimit | None, at: float, own: float
+    def _record(
+        self,
+        instance: UpstreamStart,
+        limit: RequestLimit | None,
+        at: float,
+        own_at: float,
     ) -> None:
-        old = self._known.get(start)
-        before = old.limit if old is not None else None
+        old = self._states.get(instance)
+        old_limit = old.limit if old is not None else None
         if limit is None:
-            self._known[start] = _Known(None, 0.0, at, own)
-            self._allowances.pop(start.name, None)
-            self._grants.pop(start, None)
+            self._states[instance] = _LimitState(None, 0.0, at, own_at)
+            self._allowances.pop(instance.name, None)
+            self._grants.pop(instance, None)
         else:
-            last = old.rate if old is not None and before is not None else None
-            rate = rate_of(limit.per_second, last)
-            self._known[start] = _Known(limit, rate, at, own)
-            self._allow(start, rate)
-        if limit != before:
+            old_rate = old.rate if old is not None and old_limit is not None else None
+            rate = rate_of(limit.per_second, old_rate)
+            self._states[instance] = _LimitState(limit, rate, at, own_at)
+            self._set_allowance(instance, rate)
+        if limit != old_limit:
             event = "upstream_unlimited" if limit is None else "upstream_limited"
             log(
                 event,
-                upstream=start.name,
+                upstream=instance.name,
                 said=limit.per_second if limit else None,
-                rate=self._known[start].rate,
+                rate=self._states[instance].rate,
                 age=self._clock() - at,
             )
 
-    def _allow(self, start: UpstreamStart, rate: float) -> None:
-        found = self._allowances.get(start.name)
-        if found is None or found[0] != start:
-            self._allowances[start.name] = start, Allowance(rate)
+    def _set_allowance(self, instance: UpstreamStart, rate: float) -> None:
+        found = self._allowances.get(instance.name)
+        if found is None or found[0] != instance:
+            self._allowances[instance.name] = instance, Allowance(rate)
         else:
             found[1].rate = rate
-        if start in self._grants:
-            self._grants[start].resize(rate)
+        if instance in self._grants:
+            self._grants[instance].resize(rate)
 
-    def listed(self, records: Iterable[UpstreamRecord]) -> None:
+    def update_upstreams(self, records: Iterable[UpstreamRecord]) -> None:
         """Forget upstreams that have gone or started anew."""
-        if not self._known:
+        if not self._states:
             return
-        starts = {start_of(record) for record in records}
+        instances = {instance_of(record) for record in records}
         with self._lock:
-            for start in self._known.keys() - starts:
-                del self._known[start]
-                self._grants.pop(start, None)
-                if self._allowances.get(start.name, (None,))[0] == start:
-                    del self._allowances[start.name]
+            for instance in self._states.keys() - instances:
+                del self._states[instance]
+                self._grants.pop(instance, None)
+                if self._allowances.get(instance.name, (None,))[0] == instance:
+                    del self._allowances[instance.name]
 
     # -- calls ---------------------------------------------------------------------
 
-    def hold_back(self, lanes: Iterable[Lane]) -> frozenset[Upstream]:
+    def exclude_limited(self, views: Iterable[Lane]) -> frozenset[Upstream]:
         """Close lanes to which nothing may be sent now; return their upstreams."""
         if not self._allowances:
             return frozenset()
-        closed = set()
+        excluded = set()
         with self._lock:
-            for lane in lanes:
-                if lane.upstream in self._allowances and not self._open(lane.upstream):
-                    lane.trust = 0.0
-                    closed.add(lane.upstream)
-        return frozenset(closed)
+            for view in views:
+                if view.upstream in self._allowances and not self._ready(view.upstream):
+                    view.trust = 0.0
+                    excluded.add(view.upstream)
+        return frozenset(excluded)
 
-    def _open(self, upstream: Upstream) -> bool:
-        start, allowance = self._allowances[upstream]
+    def _ready(self, upstream: Upstream) -> bool:
+        instance, allowance = self._allowances[upstream]
         now = self._clock()
-        if not allowance.has_place(now) and allowance.asks(now, self._entries()):
-            self._ask(LimitAsk(start.name, start.born, allowance.rate))
+        if not allowance.has_place(now) and allowance.asks(now, self._entry_count()):
+            self._request(LimitRequest(instance.name, instance.born, allowance.rate))
         return allowance.has_place(now)
 
     def sent(self, upstream: Upstream) -> None:
@@ -177,86 +181,87 @@
                 if found is not None:
                     found[1].use()
 
-    def wait(self, upstreams: Iterable[Upstream]) -> float | None:
+    def wait_s(self, upstreams: Iterable[Upstream]) -> float | None:
         """Return the least seconds until a call may be sent to one of some upstreams.
 
         None if it is not known yet for any of them.
         """
         now = self._clock()
         with self._lock:
-            found = (self._allowances.get(name) for name in upstreams)
-            waits = [item[1].wait(now) for item in found if item is not None]
+            entries = (self._allowances.get(name) for name in upstreams)
+            waits = [entry[1].wait(now) for entry in entries if entry is not None]
         known = [wait for wait in waits if wait is not None]
         return min(known) if known and len(known) == len(waits) else None
 
     # -- the coordinator -----------------------------------------------------------
 
-    def grant(self, vm: Vm, msg: LimitAsk) -> LimitGrant:
+    def grant(self, vm: Vm, msg: LimitRequest) -> LimitGrant:
         """Answer an entry that asks for a place, as the one that gives them out."""
-        start, now = UpstreamStart(msg.upstream, msg.born), self._clock()
+        instance, now = UpstreamStart(msg.upstream, msg.started_at_ms), self._clock()
         with self._lock:
-            wait = self._grants_of(start, msg.rate).take(now)
-        wait *= 1.0 + random.random() * AGAIN_SPREAD
-        return LimitGrant(msg.upstream, msg.born, vm, math.ceil(wait * 1000))
+            wait_s = self._grants_for(instance, msg.rate).take(now)
+        wait_s *= 1.0 + random.random() * RETRY_JITTER
+        return LimitGrant(msg.upstream, msg.started_at_ms, vm, math.ceil(wait_s * 1000))
 
-    def _grants_of(self, start: UpstreamStart, rate: float) -> Grants:
-        known = self._known.get(start)
-        if known is not None and known.limit is not None:
-            rate = known.rate
-        grants = self._grants.get(start)
+    def _grants_for(self, instance: UpstreamStart, rate: float) -> Grants:
+        state = self._states.get(instance)
+        if state is not None and state.limit is not None:
+            rate = state.rate
+        grants = self._grants.get(instance)
         if grants is None:
-            grants = self._grants[start] = Grants(rate, self._clock())
+            grants = self._grants[instance] = Grants(rate, self._clock())
         grants.resize(rate)
         return grants
 
-    def allows_order(self, record: UpstreamRecord) -> bool:
+    def acquire_order_slot(self, record: UpstreamRecord) -> bool:
         """Return whether an order may be sent to an upstream, and count it."""
-        return self._allows(record, Grants.take_order)
+        return self._acquire_slot(record, Grants.take_order)
 
-    def allows_report(self, record: UpstreamRecord) -> bool:
+    def acquire_report_slot(self, record: UpstreamRecord) -> bool:
         """Return whether an upstream may be asked for a report, and count it."""
-        return self._allows(record, Grants.take_report)
+        return self._acquire_slot(record, Grants.take_report)
 
-    def _allows(
-        self, record: UpstreamRecord, take: Callable[[Grants, float], bool]
+    def _acquire_slot(
+        self, record: UpstreamRecord, acquire: Callable[[Grants, float], bool]
     ) -> bool:
-        start = start_of(record)
+        instance = instance_of(record)
         with self._lock:
-            known = self._known.get(start)
-            if known is None or known.limit is None:
+            state = self._states.get(instance)
+            if state is None or state.limit is None:
                 return True
-            return take(self._grants_of(start, known.rate), self._clock())
+            return acquire(self._grants_for(instance, state.rate), self._clock())
 
-    def hear_grant(self, msg: LimitGrant) -> None:
+    def receive_grant(self, grant: LimitGrant) -> None:
         """Take the coordinator's answer."""
         with self._lock:
-            found = self._allowances.get(msg.upstream)
-            if found is None or found[0].born != msg.born:
+            found = self._allowances.get(grant.upstream)
+            if found is None or found[0].born != grant.started_at_ms:
                 return
-            found[1].answered(msg.wait_ms / 1000, self._clock())
-        self._changed()
+            found[1].answered(grant.wait_ms / 1000, self._clock())
+        self._on_change()
 
     # -- news ----------------------------------------------------------------------
 
-    def news(self) -> LimitNews | None:
+    def next_update(self) -> LimitUpdate | None:
         """Return what the others have to hear now, None if there is nothing."""
-        if not self._known:
+        if not self._states:
             return None
         now = self._clock()
         with self._lock:
-            whole = now - self._told_at >= RETELL_EVERY
-            due = tuple(
-                NamedLimit(
-                    start.name,
-                    start.born,
-                    known.limit is not None,
-                    known.limit.per_second if known.limit else None,
-                    max(0, int((now - known.at) * 1000)),
+            is_full = now - self._full_update_at >= RESEND_INTERVAL_S
+            limits = tuple(
+                ReportedLimit(
+                    instance.name,
+                    instance.born,
+                    state.limit is not None,
+                    state.limit.per_second if state.limit else None,
+                    max(0, int((now - state.reported_at) * 1000)),
                 )
-                for start, known in self._known.items()
-                if start in self._untold or (whole and now - known.own_at < RETELL_LIFE)
+                for instance, state in self._states.items()
+                if instance in self._unsent
+                or (is_full and now - state.own_at < RESEND_TTL_S)
             )
-            self._untold.clear()
-            if whole:
-                self._told_at = now
-        return LimitNews(due) if due else None
+            self._unsent.clear()
+            if is_full:
+                self._full_update_at = now
+        return LimitUpdate(limits) if limits else None
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -13,9 +13,9 @@
 from ..fleet.config import FleetConfig
 from ..fleet.upstream import Holding, UpstreamRecord
 from ..ids import Adapter, Model, Service, Upstream, Vm
-from .news import HoldingNews, NodeNews, Running
+from .local_work import LocalWork
+from .peer_messages import EntryUpdate, InventoryUpdate, UpstreamWork
 from .peer_work import PeerWork
-from .work import Work
 
 MISSING_TTL_S: Final = 1.0
 """Time for which an engine's answer that it lacks a model or adapter overrides
@@ -89,7 +89,7 @@
         self._cfg: FleetConfig | None = None
         self._states: dict[Upstream, UpstreamState] = {}
         self._by_service: defaultdict[Service, list[UpstreamState]] = defaultdict(list)
-        self._own_work: defaultdict[Upstream, Work] = defaultdict(Work)
+        self._own_work: defaultdict[Upstream, LocalWork] = defaultdict(LocalWork)
         self._peer_work = PeerWork()
 
     def configure(self, cfg: FleetConfig) -> None:
@@ -115,33 +115,33 @@
         self._states = states
         own_work = self._own_work.items()
         in_use = {name: w for name, w in own_work if w.requests or name in states}
-        self._own_work = defaultdict(Work, in_use)
+        self._own_work = defaultdict(LocalWork, in_use)
         self._by_service = defaultdict(list)
         for state in states.values():
             if not state.record.draining:
                 self._by_service[state.record.service].append(state)
 
-    def receive_inventory(self, msg: HoldingNews) -> None:
+    def receive_inventory(self, msg: InventoryUpdate) -> None:
         """Apply an inventory sent by the leader, unless it is outdated."""
         state = self._states.get(msg.upstream)
-        if state is None or state.record.born != msg.born:
+        if state is None or state.record.born != msg.started_at_ms:
             return
-        if (msg.epoch, msg.number) < state.reported_version:
+        if (msg.epoch, msg.sequence) < state.reported_version:
             return
-        state.reported_version = msg.epoch, msg.number
+        state.reported_version = msg.epoch, msg.sequence
         models = {model: frozenset(names) for model, names in msg.models.items()}
         for model, names in models.items():
             state.missing_at.pop((model, None), None)
             for name in names:
                 state.missing_at.pop((model, name), None)
-        state.reported = Holding(msg.orders, models)
+        state.reported = Holding(msg.order_count, models)
         state.reported_at = self._clock()
-        loads = msg.coming.values()
+        loads = msg.loading.values()
         state.busy_until = state.reported_at + max(loads, default=-1.0) + BUSY_MARGIN_S
 
-    def receive_entry_update(self, vm: Vm, msg: NodeNews) -> None:
+    def receive_entry_update(self, vm: Vm, msg: EntryUpdate) -> None:
         """Apply the work of a peer at each upstream."""
-        self._peer_work.hear(vm, msg, self._clock())
+        self._peer_work.receive(vm, msg, self._clock())
 
     def expire_peers(self) -> None:
         """Drop the work of unresponsive peers."""
@@ -180,7 +180,7 @@
         ``unread`` counts the prompt tokens pending at that upstream when the request
         was sent, its own included.
         """
-        self._own_work[upstream].unread -= request.prompt
+        self._own_work[upstream].prefill_tokens -= request.prompt
         state = self._states.get(upstream)
         if state is not None and unread >= MIN_SAMPLE_TOKENS and seconds > 0:
             state.read_rate += READ_RATE_WEIGHT * (unread / seconds - state.read_rate)
@@ -206,7 +206,10 @@
 
     def unread_tokens(self, upstream: Upstream) -> int:
         """Return the prompt tokens pending at an upstream, sent by all entries."""
-        return self._own_work[upstream].unread + self._peer_work.at(upstream).unread
+        return (
+            self._own_work[upstream].prefill_tokens
+            + self._peer_work.totals_at(upstream).prefill_tokens
+        )
 
     def views(self, request: Need, excluded: frozenset[Upstream]) -> list[Lane]:
         """Return views of the upstreams that a request may be sent to."""
@@ -250,10 +253,10 @@
     ) -> Lane:
         name = state.record.name
         own = self._own_work[name]
-        peers = self._peer_work.at(name)
+        peers = self._peer_work.totals_at(name)
         model = request.model
         unresponsive = is_silent(
-            own.requests, state.last_activity_at, own.idle_until, now
+            own.requests, state.last_activity_at, own.busy_since, now
         )
         return Lane(
             upstream=name,
@@ -262,7 +265,7 @@
             kv_tokens=kv_tokens,
             running=own.requests + peers.requests,
             tokens=own.tokens + peers.tokens,
-            unread=own.unread + peers.unread,
+            unread=own.prefill_tokens + peers.prefill_tokens,
             model_here=model is not None and state.has(model, None, now),
             adapter_here=model is not None and state.has(model, request.adapter, now),
             fetches=now >= state.busy_until,
@@ -271,8 +274,10 @@
             silent=unresponsive,
         )
 
-    def own_work(self) -> tuple[Running, ...]:
+    def own_work(self) -> tuple[UpstreamWork, ...]:
         """Return the work of this entry at each upstream, as sent to peers."""
         return tuple(
-            work.running(name) for name, work in self._own_work.items() if work.requests
+            work.to_message(name)
+            for name, work in self._own_work.items()
+            if work.requests
         )
--- a/src/persimmonhitch/limits/pooled.py
+++ b/src/persimmonhitch/limits/pooled.py
@@ -25,11 +25,11 @@
 
 from ..ids import Tokens, Vm
 
-NEWS_EVERY: Final = 0.2
+UPDATE_INTERVAL_S: Final = 0.2
 """Seconds between two messages of an entry."""
-RECENT: Final = 0.2
+RATE_WINDOW_S: Final = 0.2
 """Seconds over which the rate is averaged at which the others spend."""
-SILENT_AFTER: Final = 1.0
+PEER_TIMEOUT_S: Final = 1.0
 """Seconds; five messages missed in a row."""
 
 
@@ -39,61 +39,61 @@
 
     rate: float
     burst: float
-    now: float
+    updated_at: float
     used: float = 0.0
     """Tokens spent here since the process started."""
     level: float = 0.0
-    _others_rate: float = 0.0
+    _peer_rate: float = 0.0
     """Tokens a second that the others spent of late, as of ``_others_at``."""
-    _others_at: float = 0.0
-    _heard: dict[Vm, float] = field(default_factory=dict)
+    _peer_rate_at: float = 0.0
+    _peer_used: dict[Vm, float] = field(default_factory=dict)
 
-    _most: float = 0.0
+    _max_level: float = 0.0
     """The level that can be reached: the burst less the part of silent entries."""
 
     def __post_init__(self) -> None:
-        self.level = self._most = self.burst
+        self.level = self._max_level = self.burst
 
     def resize(self, rate: float, burst: float) -> None:
         """Take a new rate and burst; what no longer fits is lost."""
         self.rate, self.burst = rate, burst
-        self._most = burst
+        self._max_level = burst
         self.level = min(self.level, burst)
 
-    def advance(self, now: float, silent: int, fleet: int) -> None:
+    def advance(self, now: float, unresponsive: int, entry_count: int) -> None:
         """Refill up to ``now``, less the part of entries that say nothing."""
-        passed = max(0.0, now - self.now)
-        self.now = max(now, self.now)
-        part = silent / max(1, fleet)
-        self._most = self.burst * (1 - part)
-        refill = passed * self.rate * (1 - part)
-        self.level = min(self._most, self.level + refill)
-
-    def _others(self, now: float) -> float:
+        elapsed_s = max(0.0, now - self.updated_at)
+        self.updated_at = max(now, self.updated_at)
+        unresponsive_share = unresponsive / max(1, entry_count)
+        self._max_level = self.burst * (1 - unresponsive_share)
+        refill = elapsed_s * self.rate * (1 - unresponsive_share)
+        self.level = min(self._max_level, self.level + refill)
+
+    def _decayed_rate(self, now: float) -> float:
         """Return the rate at which the others spend now."""
-        passed = max(0.0, now - self._others_at)
-        self._others_at = max(now, self._others_at)
-        self._others_rate *= math.exp(-passed / RECENT)
-        return self._others_rate
+        elapsed_s = max(0.0, now - self._peer_rate_at)
+        self._peer_rate_at = max(now, self._peer_rate_at)
+        self._peer_rate *= math.exp(-elapsed_s / RATE_WINDOW_S)
+        return self._peer_rate
 
-    def take(self, cost: Tokens, late: float = 0.0) -> float | None:
+    def spend(self, cost: Tokens, lag_s: float = 0.0) -> float | None:
         """Spend tokens here; return None, or the seconds until they are there.
 
         ``late`` are the seconds for which the others may have spent unheard.
         """
         if self.rate <= 0:
             return None
-        level = self.level - max(self.rate, self._others(self.now)) * late
+        level = self.level - max(self.rate, self._decayed_rate(self.updated_at)) * lag_s
         if cost <= level:
             self.level -= cost
             self.used += cost
             return None
         # More than a full bucket never comes; it is let in alone on one.
-        if cost > self._most <= level:
+        if cost > self._max_level <= level:
             self.level -= cost
             self.used += cost
             return None
-        return (min(cost, self._most) - level) / self.rate
+        return (min(cost, self._max_level) - level) / self.rate
 
     def refund(self, cost: Tokens) -> None:
         """Give back the tokens of a request that has not run."""
@@ -101,16 +101,16 @@
             self.level = min(self.burst, self.level + cost)
             self.used -= cost
 
-    def hear(self, vm: Vm, used: float, now: float = 0.0) -> None:
+    def receive(self, vm: Vm, used: float, now: float = 0.0) -> None:
         """Take off what a peer has spent since it was last heard."""
-        last = self._heard.get(vm)
-        self._heard[vm] = used
-        if last is None:
+        previous = self._peer_used.get(vm)
+        self._peer_used[vm] = used
+        if previous is None:
             # What it spent before this process knew it is not known by time.
             return
-        spent = used - last
+        spent = used - previous
         if spent < -self.burst:
             # It started anew and counts from zero; refunds alone are smaller.
             spent = used
         self.level = min(self.burst, self.level - spent)
-        self._others_rate = self._others(now) + max(0.0, spent) / RECENT
+        self._peer_rate = self._decayed_rate(now) + max(0.0, spent) / RATE_WINDOW_S
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -211,7 +211,7 @@
 def sole_entry_limits():
     """Return limits of an entry that grants its own limit requests."""
     limits = UpstreamLimits(
-        lambda ask: limits.hear_grant(limits.grant(Vm("e1"), ask)), lambda: 1
+        lambda ask: limits.receive_grant(limits.grant(Vm("e1"), ask)), lambda: 1
     )
     return limits
 
@@ -266,7 +266,7 @@
 
     def _tick(self):
         while not self._stopping.wait(0.05):
-            self.crash_update = self.poison.news() or self.crash_update
+            self.crash_update = self.poison.next_update() or self.crash_update
             self.dispatcher.tick()
 
     def __enter__(self):
--- a/tests/test_blocked_calls.py
+++ b/tests/test_blocked_calls.py
@@ -4,7 +4,11 @@
 
 from returns.result import Success
 
-from persimmonhitch.direct.blocked_calls import PLACE_DELAY, UNTIL, BlockedCalls
+from persimmonhitch.direct.blocked_requests import (
+    UNTIL_KEY,
+    WRITE_STAGGER_S,
+    BlockedRequests,
+)
 from persimmonhitch.direct.poison import PoisonGuard
 from persimmonhitch.ids import Fingerprint, Vm
 from persimmonhitch.platform.store_client import StoreClient
@@ -26,10 +30,10 @@
         self.now = time.monotonic()
         self.guard = PoisonGuard(Vm("e1"), lambda: self.now)
         self.store = store
-        self.calls = BlockedCalls(store, self.guard, lambda: place, lambda: self.now)
+        self.calls = BlockedRequests(store, self.guard, lambda: place, lambda: self.now)
 
     def block(self):
-        self.guard.hear_blocked({BAD: self.now + LIFE})
+        self.guard.receive_blocked({BAD: self.now + LIFE})
 
     def read(self):
         listing = self.store.list_all(Kind.BLOCKED).unwrap()
@@ -57,7 +61,7 @@
         for entry in (first, second):
             entry.read()
         first.block()
-        first.calls.look()
+        first.calls.sync()
         second.read()
         refused = second.guard.refusal(BAD)
         assert refused.code is ErrorCode.CRASHES_UPSTREAMS
@@ -73,12 +77,12 @@
         entry = Entry(store)
         entry.read()
         entry.block()
-        entry.calls.look()
+        entry.calls.sync()
         (obj,) = store.list_all(Kind.BLOCKED).unwrap().items
         assert isinstance(store.delete(obj), Success)
         entry.read()
         assert entry.guard.refusal(BAD) is not None
-        entry.calls.look()
+        entry.calls.sync()
         assert stored(store) == [BAD]
 
     with_store(play)
@@ -91,10 +95,10 @@
         third = Entry(store, place=2)
         third.read()
         third.block()
-        third.calls.look()
+        third.calls.sync()
         assert stored(store) == []
-        third.now += 2 * PLACE_DELAY + 0.01
-        third.calls.look()
+        third.now += 2 * WRITE_STAGGER_S + 0.01
+        third.calls.sync()
         assert stored(store) == [BAD]
 
     with_store(play)
@@ -102,12 +106,12 @@
 
 def test_what_is_over_is_removed():
     def play(store):
-        store.create(Kind.BLOCKED, "old", {UNTIL: time.time() - 1})
+        store.create(Kind.BLOCKED, "old", {UNTIL_KEY: time.time() - 1})
         store.create(Kind.BLOCKED, "broken", {})
         entry = Entry(store)
         entry.read()
         assert entry.guard.refusal(Fingerprint("old")) is None
-        entry.calls.look()
+        entry.calls.sync()
         assert stored(store) == []
 
     with_store(play)
--- a/tests/test_broadcast.py
+++ b/tests/test_broadcast.py
@@ -7,7 +7,7 @@
 
 from persimmonhitch.decide.overlay import Member, Overlay
 from persimmonhitch.direct.broadcast import Broadcast
-from persimmonhitch.direct.news import NodeNews
+from persimmonhitch.direct.peer_messages import EntryUpdate
 from persimmonhitch.ids import Account, Incarnation, Vm, Zone
 from persimmonhitch.wire.codec import decode
 
@@ -55,7 +55,7 @@
             lambda to, frame: self._send(vm, to, frame),
             lambda: self.now,
         )
-        node.cast.on(NodeNews, lambda *heard: self._hear(node, *heard))
+        node.cast.on(EntryUpdate, lambda *heard: self._hear(node, *heard))
 
     def _send(self, vm, to, frame):
         self.nodes[vm].sent += 1
@@ -63,7 +63,7 @@
         return True
 
     def _hear(self, node, origin, msg, as_of):
-        value = msg.used[COOP]
+        value = msg.usage[COOP]
         node.doubled += value == node.heard.get(origin, (None,))[0]
         node.heard[origin] = value, as_of
 
@@ -77,7 +77,7 @@
                 if not cut and to in self.nodes:
                     result = decode(frame)
                     assert isinstance(result, Success)
-                    self.nodes[to].cast.hear(vm, result.unwrap())
+                    self.nodes[to].cast.receive(vm, result.unwrap())
             for vm, node in self.nodes.items():
                 if vm not in self.down:
                     self._tick(node)
@@ -86,7 +86,7 @@
         if self.now - node.told_at >= NEWS_EVERY:
             node.told_at = self.now
             node.count += 1
-            node.cast.publish(NodeNews({COOP: float(node.count)}, {}, ()))
+            node.cast.publish(EntryUpdate({COOP: float(node.count)}, {}, ()))
         node.cast.flush()
 
     def latest(self, among=None):
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -10,7 +10,12 @@
 
 from persimmonhitch.direct import leader as leader_module
 from persimmonhitch.direct.leader import Leader
-from persimmonhitch.direct.news import NodeNews, Running, Use, Want
+from persimmonhitch.direct.peer_messages import (
+    EntryUpdate,
+    LoadRequest,
+    ModelUse,
+    UpstreamWork,
+)
 from persimmonhitch.fleet.config import FleetConfig, ServiceSpec
 from persimmonhitch.fleet.upstream import ORDERS_UNKNOWN, Holding, UpstreamRecord
 from persimmonhitch.ids import (
@@ -66,7 +71,7 @@
 
 
 def entry_update(asked, running=()):
-    return NodeNews({}, asked, running)
+    return EntryUpdate({}, asked, running)
 
 
 @contextmanager
@@ -106,7 +111,7 @@
     a missing model wait only half a second for the report that it is being loaded.
     """
     leader.receive_entry_update(Vm("b"), entry_update({SMALL: 9000.0}))
-    leader.receive_load_request(Vm("b"), Want(SMALL, None, None))
+    leader.receive_load_request(Vm("b"), LoadRequest(SMALL, None, None))
     engine = leader._client
     wait_for(lambda: any(o.model == SMALL for o, _ in engine.log), "the order")
 
@@ -118,11 +123,13 @@
         engine = leader._client
         engine.load_time = math.inf
         leader.receive_entry_update(Vm("b"), entry_update({SMALL: 9000.0}))
-        leader.receive_load_request(Vm("b"), Want(SMALL, None, None))
+        leader.receive_load_request(Vm("b"), LoadRequest(SMALL, None, None))
         wait_for(lambda: any(o.model == SMALL for o, _ in engine.log), "the load")
         loading = leader._controllers[Upstream("e1")].engine.loading
         idle_upstream = Upstream("e1" if loading is None else "e2")
-        leader.receive_load_request(Vm("b"), Want(BIG, Adapter("a1"), idle_upstream))
+        leader.receive_load_request(
+            Vm("b"), LoadRequest(BIG, Adapter("a1"), idle_upstream)
+        )
         wait_for(lambda: any(o.adapter for o, _ in engine.log), "the order", 1.0)
 
 
@@ -130,6 +137,6 @@
     """Guards against a model that counts as idle because its requests use no adapter.
     It would be evicted first, and the engine could load nothing until they have ended.
     """
-    work = Running(Upstream("e1"), 1, 100, 0, (Use(BIG, None),))
+    work = UpstreamWork(Upstream("e1"), 1, 100, 0, (ModelUse(BIG, None),))
     leader.receive_entry_update(Vm("b"), entry_update({}, (work,)))
     assert {use.model for use in leader._uses_by_upstream()[Upstream("e1")]} == {BIG}
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -53,7 +53,7 @@
 
     def _asked(self, vm, ask):
         if vm == self.leader:
-            self.limits[vm].hear_grant(self.limits[vm].grant(vm, ask))
+            self.limits[vm].receive_grant(self.limits[vm].grant(vm, ask))
         elif self.leader is not None and not {vm, self.leader} & self.cut:
             self._letters.append((self.now + TRIP, self.leader, vm, ask))
 
@@ -65,17 +65,17 @@
 
     def _carry(self):
         for vm, limits in self.limits.items():
-            news = limits.news()
+            news = limits.next_update()
             if news is not None and vm not in self.cut:
                 self._on_way.append((self.now, vm, news))
         while self._on_way and self._on_way[0][0] + LATE <= self.now:
             at, origin, news = self._on_way.popleft()
             for vm in set(self.names) - {origin} - self.cut:
-                self.limits[vm].hear(origin, news, at)
+                self.limits[vm].receive(origin, news, at)
         while self._letters and self._letters[0][0] <= self.now:
             _, leader, vm, ask = self._letters.popleft()
             if leader is ANSWERED:
-                self.limits[vm].hear_grant(ask)
+                self.limits[vm].receive_grant(ask)
             elif leader == self.leader:
                 grant = self.limits[leader].grant(vm, ask)
                 self._letters.append((self.now + TRIP, ANSWERED, vm, grant))
@@ -92,7 +92,7 @@
 
     def _send(self, vm):
         lane = Lane(UP.name, ZONE, 64, 0, 0, 0, 0, True, True)
-        self.limits[vm].hold_back([lane])
+        self.limits[vm].exclude_limited([lane])
         if lane.trust <= 0:
             return False
         self.limits[vm].sent(UP.name)
--- a/tests/test_peer_work.py
+++ b/tests/test_peer_work.py
@@ -2,33 +2,35 @@
 
 import pytest
 
-from persimmonhitch.direct.news import NodeNews, Running, Use
-from persimmonhitch.direct.peer_work import PEER_NEWS_LIFE, PeerWork
+from persimmonhitch.direct.peer_messages import EntryUpdate, ModelUse, UpstreamWork
+from persimmonhitch.direct.peer_work import PEER_UPDATE_TTL_S, PeerWork
 from persimmonhitch.direct.update_delta import FULL_UPDATE_INTERVAL_S, UpdateDelta
 from persimmonhitch.ids import Account, Model, Upstream, Vm
 
 E1, E2, A, B = Upstream("e1"), Upstream("e2"), Vm("a"), Vm("b")
-USE = Use(Model("m"), None)
+USE = ModelUse(Model("m"), None)
 
 
 def at(upstream, requests, unread=0):
-    return Running(upstream, requests, 100 * requests, unread, (USE,) * bool(requests))
+    return UpstreamWork(
+        upstream, requests, 100 * requests, unread, (USE,) * bool(requests)
+    )
 
 
 def news(*running, whole=True):
-    return NodeNews({}, {}, running, whole)
+    return EntryUpdate({}, {}, running, whole)
 
 
 def test_sums_follow_what_peers_tell():
     work = PeerWork()
-    work.hear(A, news(at(E1, 3, 500), at(E2, 1)), 0.0)
-    work.hear(B, news(at(E1, 2, 100)), 0.0)
-    assert (work.at(E1).requests, work.at(E1).unread) == (5, 600)
-    work.hear(A, news(at(E1, 1), whole=False), 0.1)
-    assert (work.at(E1).requests, work.at(E2).requests) == (3, 1)
-    work.hear(A, news(at(E1, 0), whole=False), 0.2)
-    assert work.at(E1).requests == 2
-    assert work.uses(E2) == {USE}
+    work.receive(A, news(at(E1, 3, 500), at(E2, 1)), 0.0)
+    work.receive(B, news(at(E1, 2, 100)), 0.0)
+    assert (work.totals_at(E1).requests, work.totals_at(E1).prefill_tokens) == (5, 600)
+    work.receive(A, news(at(E1, 1), whole=False), 0.1)
+    assert (work.totals_at(E1).requests, work.totals_at(E2).requests) == (3, 1)
+    work.receive(A, news(at(E1, 0), whole=False), 0.2)
+    assert work.totals_at(E1).requests == 2
+    assert work.model_uses(E2) == {USE}
 
 
 @pytest.mark.parametrize("times", [1, 3])
@@ -36,26 +38,26 @@
     """A doubled message would make an engine look full for good."""
     work = PeerWork()
     for _ in range(times):
-        work.hear(A, news(at(E1, 3), whole=False), 0.0)
-    assert work.at(E1).requests == 3
+        work.receive(A, news(at(E1, 3), whole=False), 0.0)
+    assert work.totals_at(E1).requests == 3
 
 
 def test_what_is_not_in_a_whole_message_has_ended():
     """The change that told of the end was lost with its link."""
     work = PeerWork()
-    work.hear(A, news(at(E1, 3), at(E2, 1)), 0.0)
-    work.hear(A, news(at(E2, 1)), 0.2)
-    assert (work.at(E1).requests, work.at(E2).requests) == (0, 1)
+    work.receive(A, news(at(E1, 3), at(E2, 1)), 0.0)
+    work.receive(A, news(at(E2, 1)), 0.2)
+    assert (work.totals_at(E1).requests, work.totals_at(E2).requests) == (0, 1)
 
 
 def test_work_of_a_silent_peer_is_forgotten():
     work = PeerWork()
-    work.hear(A, news(at(E1, 3)), 0.0)
-    work.hear(B, news(at(E1, 1)), 1.0)
-    work.expire(PEER_NEWS_LIFE + 0.1)
-    assert work.at(E1).requests == 1
-    work.expire(PEER_NEWS_LIFE + 1.1)
-    assert work.at(E1).requests == 0
+    work.receive(A, news(at(E1, 3)), 0.0)
+    work.receive(B, news(at(E1, 1)), 1.0)
+    work.expire(PEER_UPDATE_TTL_S + 0.1)
+    assert work.totals_at(E1).requests == 1
+    work.expire(PEER_UPDATE_TTL_S + 1.1)
+    assert work.totals_at(E1).requests == 0
 
 
 def test_changes_that_are_told_amount_to_the_news():
@@ -68,17 +70,17 @@
         (at(E1, 1), at(E2, 1)),
     ]
     for number, running in enumerate(steps):
-        full = NodeNews({Account("x"): float(number)}, {}, running)
-        work.hear(A, told.compute(full, number * 0.2), number * 0.2)
+        full = EntryUpdate({Account("x"): float(number)}, {}, running)
+        work.receive(A, told.compute(full, number * 0.2), number * 0.2)
         sums = {item.upstream: item.requests for item in running}
-        assert work.at(E1).requests == sums.get(E1, 0)
-        assert work.at(E2).requests == sums[E2]
+        assert work.totals_at(E1).requests == sums.get(E1, 0)
+        assert work.totals_at(E2).requests == sums[E2]
 
 
 def test_only_what_has_changed_is_told_between_wholes():
     told = UpdateDelta()
-    first = NodeNews({Account("x"): 1.0, Account("y"): 1.0}, {}, (at(E1, 1),))
-    second = NodeNews({Account("x"): 1.0, Account("y"): 2.0}, {}, (at(E1, 1),))
+    first = EntryUpdate({Account("x"): 1.0, Account("y"): 1.0}, {}, (at(E1, 1),))
+    second = EntryUpdate({Account("x"): 1.0, Account("y"): 2.0}, {}, (at(E1, 1),))
     assert told.compute(first, 0.0) is first
-    assert told.compute(second, 0.2) == NodeNews({Account("y"): 2.0}, {}, (), False)
+    assert told.compute(second, 0.2) == EntryUpdate({Account("y"): 2.0}, {}, (), False)
     assert told.compute(second, FULL_UPDATE_INTERVAL_S + 0.1) is second
--- a/tests/test_poison_fleet.py
+++ b/tests/test_poison_fleet.py
@@ -75,7 +75,7 @@
         self._number = UPSTREAMS
 
     def _guard(self, vm):
-        return PoisonGuard(vm, lambda: self.now, alone=lambda: self._is_cut(vm))
+        return PoisonGuard(vm, lambda: self.now, is_isolated=lambda: self._is_cut(vm))
 
     def _record(self, number):
         return UpstreamRecord(
@@ -101,14 +101,14 @@
 
     def _news(self):
         for vm, guard in self.guards.items():
-            news = guard.news()
+            news = guard.next_update()
             if news is not None and not self._is_cut(vm):
                 self._on_way.append((self.now, vm, news))
         while self._on_way and self._on_way[0][0] + LATE <= self.now:
             at, origin, news = self._on_way.popleft()
             for vm, guard in self.guards.items():
                 if vm != origin and not self._is_cut(vm):
-                    guard.hear(origin, news, at)
+                    guard.receive(origin, news, at)
 
     def _store(self):
         for guard in self.guards.values():
@@ -117,7 +117,7 @@
         while self._stored and self._stored[0][0] + STORE_LATE <= self.now:
             due.update(self._stored.popleft()[1])
         for guard in self.guards.values():
-            guard.hear_blocked(due)
+            guard.receive_blocked(due)
 
     # -- calls -------------------------------------------------------------------
 
@@ -160,7 +160,7 @@
             for e in self.engines
             if e.back_at <= self.now and len(e.running) < SLOTS
         ]
-        guard.hold_back(Need(LLM, None, None, 1, 1, 1, 0, 0, 0, 0, call), lanes)
+        guard.exclude_upstreams(Need(LLM, None, None, 1, 1, 1, 0, 0, 0, 0, call), lanes)
         able = [lane for lane in lanes if lane.trust > 0]
         if not able:
             return None
@@ -188,7 +188,9 @@
         self.crashes.append((self.now, guilty.call))
         for run in engine.running:
             guard = self.guards[run.vm]
-            guard.lost(run.call, engine.record, BEGIN <= self._age(run) <= 1.0)
+            guard.connection_lost(
+                run.call, engine.record, BEGIN <= self._age(run) <= 1.0
+            )
             guard.ended(run.call, engine.record.name)
             if run.attempts > 1:
                 again = (self.now + 0.1, run.call, run.poison, run.attempts - 1)
--- a/tests/test_poison_gateway.py
+++ b/tests/test_poison_gateway.py
@@ -88,4 +88,4 @@
             "the news",
         )
         (crash,) = served.crash_update.crashes
-    assert set(crash.calls.values()) == {True}
+    assert set(crash.lost.values()) == {True}
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -30,12 +30,12 @@
         """Lose a call together with the connection to an upstream."""
         self.now += 1.0
         self.guard.started(BAD, record(number).name)
-        self.guard.lost(BAD, record(number), True)
+        self.guard.connection_lost(BAD, record(number), True)
         self.guard.ended(BAD, record(number).name)
 
     def blocks(self):
         self.now += SETTLED + 0.01
-        self.told = self.guard.news()
+        self.told = self.guard.next_update()
         return self.guard.refusal(BAD) is not None
 
 
@@ -53,7 +53,7 @@
         entry.lose(number)
     assert [up.name for up in entry.guard.due_checks()] == ["u0", "u1"]
     assert not entry.blocks()
-    entry.guard.listed(others)
+    entry.guard.update_upstreams(others)
     assert entry.blocks()
 
 
@@ -75,10 +75,10 @@
         entry.guard.unreachable(record(number))
     first.now = second.now = 5.0
     assert not first.blocks()
-    first.guard.hear(Vm("e2"), second.guard.news(), 5.0)
+    first.guard.receive(Vm("e2"), second.guard.next_update(), 5.0)
     assert first.blocks()
     assert second.guard.refusal(BAD) is None
-    second.guard.hear(Vm("e1"), first.told, first.now)
+    second.guard.receive(Vm("e1"), first.told, first.now)
     assert second.guard.refusal(BAD) is not None
 
 
@@ -89,12 +89,12 @@
         first.lose(number)
         first.guard.unreachable(record(number))
     second.now = first.now
-    second.guard.hear(Vm("e1"), first.guard.news(), first.now)
+    second.guard.receive(Vm("e1"), first.guard.next_update(), first.now)
     second.now += 0.1
     second.guard.completed(BAD)
     first.now = new.now = second.now + 2.0
-    first.guard.hear(Vm("e2"), second.guard.news(), second.now)
-    new.guard.hear(Vm("e1"), first.guard.news(), first.now)
+    first.guard.receive(Vm("e2"), second.guard.next_update(), second.now)
+    new.guard.receive(Vm("e1"), first.guard.next_update(), first.now)
     assert not new.blocks()
 
 
@@ -105,6 +105,6 @@
         told.lose(number)
         told.guard.unreachable(record(number))
     new.now = 20.0
-    new.guard.hear(Vm("e1"), told.guard.news(), 10.0)
+    new.guard.receive(Vm("e1"), told.guard.next_update(), 10.0)
     assert new.guard.refusal(BAD) is None
     assert new.blocks()
--- a/tests/test_pooled_rate.py
+++ b/tests/test_pooled_rate.py
@@ -3,7 +3,7 @@
 from persimmonhitch.direct.quota import Quota
 from persimmonhitch.fleet.config import AccountSpec, FleetConfig
 from persimmonhitch.ids import Account, ConfigVersion, Tokens, Vm
-from persimmonhitch.limits.pooled import NEWS_EVERY, SILENT_AFTER, PooledBucket
+from persimmonhitch.limits.pooled import PEER_TIMEOUT_S, UPDATE_INTERVAL_S, PooledBucket
 
 COOP = Account("coop")
 RATE, BURST, COST = 1000.0, 2000.0, Tokens(50)
@@ -31,14 +31,14 @@
         clock[0] += STEP
         for name, quota in made.items():
             for _ in range(asks(name)):
-                if quota.take(COOP, COST) is None:
+                if quota.spend(COOP, COST) is None:
                     let_in += COST
-        if clock[0] - told_at >= NEWS_EVERY:
+        if clock[0] - told_at >= UPDATE_INTERVAL_S:
             told_at = clock[0]
             for sender, quota in made.items():
                 for name, other in made.items():
                     if name != sender and heard(sender, name):
-                        other.hear(sender, quota.used())
+                        other.receive(sender, quota.tokens_used())
     return let_in
 
 
@@ -47,7 +47,7 @@
     clock, made = entries(4)
     play(clock, made, 1.0, lambda _name: 0)
     let_in = play(clock, made, 8.0, lambda _name: 2)
-    first_moment = 4 * 2 * COST * NEWS_EVERY / STEP
+    first_moment = 4 * 2 * COST * UPDATE_INTERVAL_S / STEP
     assert BURST + 8 * RATE * 0.9 <= let_in <= BURST + 8 * RATE + first_moment
 
 
@@ -73,8 +73,8 @@
         return half[sender] == half[name]
 
     let_in = play(clock, made, 10.0, lambda _name: 2, same_half)
-    silence = SILENT_AFTER * RATE + BURST
-    first_moment = 4 * 2 * COST * NEWS_EVERY / STEP
+    silence = PEER_TIMEOUT_S * RATE + BURST
+    first_moment = 4 * 2 * COST * UPDATE_INTERVAL_S / STEP
     assert let_in <= BURST + 10 * RATE + silence + first_moment
 
 
@@ -83,30 +83,30 @@
     account would get all that it ever spent once more.
     """
     bucket = PooledBucket(RATE, BURST, 0.0)
-    bucket.hear(Vm("e1"), 50_000.0)
+    bucket.receive(Vm("e1"), 50_000.0)
     bucket.advance(0.1, 0, 2)
     level = bucket.level
-    bucket.hear(Vm("e1"), 100.0)
+    bucket.receive(Vm("e1"), 100.0)
     assert bucket.level == level - 100.0
 
 
 def test_refunds_reach_the_others():
     bucket = PooledBucket(RATE, BURST, 0.0)
-    bucket.hear(Vm("e1"), 0.0)
-    bucket.hear(Vm("e1"), 500.0)
-    bucket.hear(Vm("e1"), 300.0)
+    bucket.receive(Vm("e1"), 0.0)
+    bucket.receive(Vm("e1"), 500.0)
+    bucket.receive(Vm("e1"), 300.0)
     assert bucket.level == BURST - 300.0
 
 
 def test_a_lower_rate_holds_at_once():
     bucket = PooledBucket(RATE, BURST, 0.0)
     bucket.resize(10.0, 100.0)
-    assert bucket.take(Tokens(60)) is None
-    wait = bucket.take(Tokens(60))
+    assert bucket.spend(Tokens(60)) is None
+    wait = bucket.spend(Tokens(60))
     assert wait is not None and 1.9 < wait < 2.1
 
 
 def test_a_call_above_the_burst_goes_alone():
     bucket = PooledBucket(RATE, BURST, 0.0)
-    assert bucket.take(Tokens(5000)) is None
-    assert bucket.take(Tokens(1)) is not None
+    assert bucket.spend(Tokens(5000)) is None
+    assert bucket.spend(Tokens(1)) is not None
--- a/tests/test_pooled_rate_late.py
+++ b/tests/test_pooled_rate_late.py
@@ -48,7 +48,7 @@
             due += demand * STEP
             while due >= COST:
                 due -= COST
-                if self.quotas[rng.choice(self.names)].take(HOT, COST) is None:
+                if self.quotas[rng.choice(self.names)].spend(HOT, COST) is None:
                     self.let_in.append((self.now, COST))
             self._exchange()
 
@@ -57,12 +57,12 @@
             self._told_at = self.now
             for name, quota in self.quotas.items():
                 if name not in self.silent:
-                    self._on_way.append((self.now, name, quota.used()))
+                    self._on_way.append((self.now, name, quota.tokens_used()))
         while self._on_way and self.now - self._on_way[0][0] >= LATE:
             told_at, sender, used = self._on_way.popleft()
             for name, quota in self.quotas.items():
                 if name != sender and name not in self.silent:
-                    quota.hear(sender, used, told_at)
+                    quota.receive(sender, used, told_at)
 
     def most(self):
         """Return the most tokens that were let in within a window."""
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from persimmonhitch.direct.leader import Leader
-from persimmonhitch.direct.news import NodeNews
+from persimmonhitch.direct.peer_messages import EntryUpdate
 from persimmonhitch.fleet.config import EngineSpec, FleetConfig, ModelSpec, ServiceSpec
 from persimmonhitch.fleet.upstream import Holding, UpstreamRecord
 from persimmonhitch.ids import ConfigVersion, Epoch, Model, Service, Upstream, Vm, Zone
@@ -140,7 +140,7 @@
                 if caller.call(passed) and self._is_held(caller.model):
                     self.served.add(caller.model)
             asked = {caller.model: caller.asked for caller in self.callers}
-            self.leader.receive_entry_update(Vm("b"), NodeNews({}, asked, ()))
+            self.leader.receive_entry_update(Vm("b"), EntryUpdate({}, asked, ()))
             self._end_loads()
             self.leader.run_round()
         return self.served
