--- a/src/persimmonhitch/direct/admit.py
+++ b/src/persimmonhitch/direct/admit.py
@@ -40,7 +40,7 @@
 class Admitted:
     """A request that passed admission but is not yet charged to its account."""
 
-    req: Request
+    http_request: Request
     caller: CallerHeaders
     route: Route
     account: AccountSpec | None
@@ -74,7 +74,7 @@
     digest = fingerprint(_path(req), account.name if account else None, req.body)
     return Success(
         Admitted(
-            req=req,
+            http_request=req,
             caller=caller,
             route=route,
             account=account,
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -156,7 +156,7 @@
         time_left: float,
         last_event_id: str | None,
     ) -> OutgoingRequest:
-        req, request = admitted.req, admitted.request
+        req, request = admitted.http_request, admitted.request
         account = admitted.account.name if admitted.account is not None else None
         rank = request.rank if request.model is not None else None
         return OutgoingRequest(
