--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -274,7 +274,7 @@
             self._match_waiters()
 
     def receive_inventory(self, msg: InventoryUpdate) -> None:
-        """Apply the leader's report of the models that an engine holds or loads."""
+        """Apply the leader's report of resident and loading models of an engine."""
         now = self._clock()
         with self._lock:
             for model, seconds in msg.loading.items():
--- a/src/persimmonhitch/direct/engine_client.py
+++ b/src/persimmonhitch/direct/engine_client.py
@@ -68,7 +68,7 @@
     def send_order(
         self, record: UpstreamRecord, order: Order, order_count: int, epoch: Epoch
     ) -> OrderOutcome:
-        """Send an order, valid only if the engine accepted ``order_count`` before."""
+        """Send an order that is valid only after ``order_count`` accepted orders."""
         if not self._limits.acquire_order_slot(record):
             return OrderOutcome.LIMITED
         body = encode_order(
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -32,11 +32,11 @@
 """Weights of a sample above and below the estimated rate: unreported prompts of other
 entries lower a sample, but nothing raises it."""
 MIN_SOLO_SAMPLE_TOKENS: Final = 2000
-"""Prompts with fewer tokens spend most of the time to first token outside prefill."""
+"""Below this prompt size, most of the time to first token is not prompt processing."""
 READ_RATE_WEIGHT: Final = 0.2
 """Weight of the newest sample in ``UpstreamState.read_rate``."""
 MIN_SAMPLE_TOKENS: Final = 200
-"""With fewer prompt tokens, the time to first token is no measure of the rate."""
+"""Below this prompt size, the time to first token is no measure of the rate."""
 
 
 @dataclass
@@ -49,7 +49,7 @@
     reported_at: float = 0.0
     reported_version: tuple[int, int] = (0, 0)
     busy_until: float = 0.0
-    """Expected end of a model load, during which the engine takes no other order."""
+    """Expected end of a model load; the engine rejects other orders until then."""
     health: Trust = field(default_factory=Trust)
     last_activity_at: float = 0.0
     """Time of the last output received by a request of this entry."""
