--- a/src/persimmonhitch/direct/blocked_requests.py
+++ b/src/persimmonhitch/direct/blocked_requests.py
@@ -1,4 +1,4 @@
-"""Blocked calls in the store, for entries that start or that the others can't reach."""
+"""Blocked requests in the store, for entries that start or receive no updates."""
 
 import threading
 import time
@@ -14,22 +14,23 @@
 from .poison import PoisonGuard
 
 POLL_INTERVAL_S: Final = 0.2
-"""Seconds between two looks at what the store lacks."""
+"""Interval of comparisons between this entry and the store."""
 WRITE_STAGGER_S: Final = 0.6
-"""Seconds that an entry leaves to each one before it, so that mostly one writes."""
+"""Delay per entry of higher rank, so that usually a single entry writes."""
 UNTIL_KEY: Final = "until"
-"""Field of an object: Unix seconds until which its call is blocked."""
+"""Field of a stored object: Unix time in seconds at which the block ends."""
 
 
 class BlockedRequests:
-    """Keeps the store's list of blocked calls equal to this entry's.
+    """Synchronizes the blocked requests of this entry with the store.
 
-    Whatever the store lacks is written again: it may come back from an older copy.
+    Missing objects are written again, since the store may be restored from an older
+    copy.
 
     Parameters
     ----------
-    place : callable
-        Returns how many entries write before this one.
+    rank : callable
+        Returns the number of entries that write before this one.
     """
 
     def __init__(
@@ -51,15 +52,15 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Write from now on."""
+        """Start the synchronization."""
         threading.Thread(target=self._run, name="blocked-calls", daemon=True).start()
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop the synchronization."""
         self._stopping.set()
 
     def update(self, view: View) -> None:
-        """Take the store's list."""
+        """Apply the list of blocked requests in the store."""
         self._stored = dict(view.objects)
         self._has_listing = True
         clock_offset_s = self._clock() - self._unix_time()
@@ -79,7 +80,7 @@
                 log("blocked_calls_failed", error=repr(exc))
 
     def sync(self) -> None:
-        """Write what the store lacks and remove what is over, when it is time to."""
+        """Write missing blocks and remove expired ones, in order of rank."""
         if not self._has_listing:
             return
         now = self._clock()
--- a/src/persimmonhitch/direct/broadcast.py
+++ b/src/persimmonhitch/direct/broadcast.py
@@ -1,4 +1,4 @@
-"""Carries messages of one entry to all others, over a few neighbours of each."""
+"""Broadcast of messages to all entries, relayed over the overlay."""
 
 import threading
 import time
@@ -15,14 +15,14 @@
 from .peer_messages import BroadcastBatch, BroadcastItem
 
 FLUSH_INTERVAL_S: Final = 0.1
-"""Seconds between two bundles to a neighbour, while there is something to tell."""
+"""Minimum interval between two batches to a neighbour."""
 URGENT_FLUSH_INTERVAL_S: Final = 0.03
-"""Seconds between two of them while callers wait for what is told."""
+"""Minimum interval while callers wait for a message in the queue."""
 HEARTBEAT_INTERVAL_S: Final = 0.2
-"""Seconds after which a neighbour is told that this entry lives."""
+"""Interval of batches that are sent even without a message."""
 
 Handler = Callable[[Vm, Any, float], None]
-"""Takes the origin, the message, and when its news were so in monotonic seconds."""
+"""Receives the origin, the message and the monotonic time as of which it holds."""
 SendFrame = Callable[[Vm, bytes], bool]
 
 
@@ -30,32 +30,32 @@
 class _Queued:
     item: BroadcastItem
     source: Vm | None
-    """The neighbour that it came from; None for a message of this entry."""
+    """The neighbour that sent the item; None for a message of this entry."""
     from_across: bool
     queued_at: float
 
 
 @dataclass
 class _Origin:
-    """The newest message of an origin."""
+    """The newest message received from an origin."""
 
     incarnation: Incarnation
     sequence: int
     ended: frozenset[Incarnation] = frozenset()
-    """Processes that ran there before."""
+    """Earlier processes on that VM."""
 
 
 class Broadcast:
-    """Tells all entries; each message reaches a handler once, in order.
+    """Broadcasts messages; each one reaches its handler once, in order per origin.
 
     Parameters
     ----------
     overlay : Overlay
-        Decides whom this entry tells.
+        Selects the neighbours that this entry sends to.
     send : callable
-        Sends an encoded message to one neighbour.
+        Sends an encoded batch to one neighbour.
     observe_age : callable
-        Takes the seconds that the oldest news of a bundle were on their way.
+        Receives the age in seconds of the oldest new item of each batch.
     """
 
     def __init__(
@@ -83,13 +83,14 @@
         self._logged_parent: Vm | None = self._vm
 
     def on(self, message_type: type, handler: Handler) -> None:
-        """Hand every message of a kind to ``handler``."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     def publish(self, msg: Any, urgent: bool = False) -> None:
-        """Tell a message to all other entries; it goes out with the next flush.
+        """Queue a message to all other entries for the next flush.
 
-        ``urgent`` says that callers wait for it.
+        ``urgent`` shortens the interval to that flush, for messages that callers wait
+        for.
         """
         body = encode(msg)
         now = self._clock()
@@ -100,12 +101,12 @@
             self._urgent |= urgent
 
     def incarnation(self, vm: Vm) -> Incarnation | None:
-        """Return the newest process that was heard from a VM."""
+        """Return the newest process on a VM from which a message was received."""
         state = self._origins.get(vm)
         return state.incarnation if state else None
 
     def receive(self, vm: Vm, batch: BroadcastBatch) -> None:
-        """Take a neighbour's bundle, pass its news on and hand them to handlers."""
+        """Relay the new items of a neighbour's batch and deliver them to handlers."""
         now = self._clock()
         with self._lock:
             self._overlay.heard(vm, batch.direction, now)
@@ -138,7 +139,7 @@
     def _deliver(self, item: BroadcastItem, as_of: float) -> None:
         result = decode(item.body)
         if not isinstance(result, Success):
-            # A newer version of the program may tell what this one does not know.
+            # A newer version of the program may send unknown message types.
             log("news_unreadable", origin=item.origin, error=result.failure())
             return
         msg = result.unwrap()
@@ -151,7 +152,7 @@
             log("news_failed", origin=item.origin, error=repr(exc))
 
     def flush(self) -> None:
-        """Send what is to be told, if it is time to."""
+        """Send the queued messages or a heartbeat when due."""
         now = self._clock()
         with self._lock:
             heartbeat = now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S
--- a/src/persimmonhitch/direct/crash_checks.py
+++ b/src/persimmonhitch/direct/crash_checks.py
@@ -1,4 +1,4 @@
-"""Finds out whether upstreams that lost calls have ended."""
+"""Connection checks of upstreams that may have crashed."""
 
 import threading
 from typing import Final
@@ -9,11 +9,11 @@
 
 POLL_INTERVAL_S: Final = 0.05
 CONNECT_TIMEOUT_S: Final = 0.5
-"""Seconds after which an upstream that takes no connection counts as ended."""
+"""Time after which an upstream that accepts no connection counts as crashed."""
 
 
 class CrashChecks:
-    """Connects to upstreams once after a loss, each on a thread of its own."""
+    """Connects once to each upstream that lost requests, on a separate thread."""
 
     def __init__(self, guard: PoisonGuard, conns: ConnectionPool) -> None:
         self._guard = guard
@@ -21,11 +21,11 @@
         self._stopping = threading.Event()
 
     def start(self) -> None:
-        """Check from now on."""
+        """Start the checks."""
         threading.Thread(target=self._run, name="crash-checks", daemon=True).start()
 
     def stop(self) -> None:
-        """Check no more."""
+        """Stop the checks."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -41,5 +41,6 @@
         if conn is None:
             self._guard.unreachable(record)
         else:
-            # It lives, or has started anew; its answers or its entry will tell.
+            # The process is alive or was restarted; its answers or its registration
+            # record distinguish the two.
             self._conns.release(address, conn, None)
--- a/src/persimmonhitch/direct/local_work.py
+++ b/src/persimmonhitch/direct/local_work.py
@@ -1,4 +1,4 @@
-"""The calls of this entry that one upstream runs now."""
+"""Requests of this entry that run at one upstream."""
 
 from dataclasses import dataclass, field
 
@@ -9,19 +9,19 @@
 
 @dataclass
 class LocalWork:
-    """Calls of this entry at one upstream."""
+    """Running requests of this entry at one upstream, in numbers."""
 
     requests: int = 0
     tokens: int = 0
     prefill_tokens: int = 0
-    """Prompt tokens that it has yet to read."""
+    """Prompt tokens of requests that have not returned their first token yet."""
     model_counts: dict[tuple[Model, Adapter | None], int] = field(default_factory=dict)
-    """Calls that use each model and adapter."""
+    """Number of requests per model and adapter."""
     busy_since: float = 0.0
-    """When the first of the calls that run now was sent."""
+    """When the upstream last went from idle to having a request, monotonic seconds."""
 
     def start(self, request: Need, now: float) -> None:
-        """Count a call that is sent."""
+        """Add a request that is sent."""
         if not self.requests:
             self.busy_since = now
         self.requests += 1
@@ -32,7 +32,7 @@
             self.model_counts[key] = self.model_counts.get(key, 0) + 1
 
     def finish(self, request: Need, prefill_done: bool) -> None:
-        """Count a call that has ended."""
+        """Remove a request that has ended."""
         self.requests -= 1
         self.tokens -= request.tokens
         if not prefill_done:
@@ -44,7 +44,7 @@
                 del self.model_counts[key]
 
     def to_message(self, upstream: Upstream) -> UpstreamWork:
-        """Return it as the peers are told."""
+        """Return the work as it is sent to peers."""
         uses = tuple(ModelUse(model, adapter) for model, adapter in self.model_counts)
         prefill = max(0, self.prefill_tokens)
         return UpstreamWork(upstream, self.requests, self.tokens, prefill, uses)
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the entries that call upstreams directly."""
+"""Messages between the entries of a fleet."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class ModelUse:
-    """A model, and its adapter if there is one, that calls use."""
+    """A model that running requests use, with its adapter if any."""
 
     model: Model
     adapter: Adapter | None
@@ -26,65 +26,65 @@
 
 @dataclass(frozen=True)
 class UpstreamWork:
-    """Work that one entry has at one upstream at this moment."""
+    """Requests of one entry that run at one upstream."""
 
     upstream: Upstream
     requests: int
     tokens: int
-    """Prompt and most output of its requests, as memory they may take."""
+    """Prompt tokens plus the output limits: the memory that the requests may use."""
     prefill_tokens: int
-    """Prompt tokens of requests whose first token has not come yet."""
+    """Prompt tokens of requests that have not returned their first token yet."""
     model_uses: tuple[ModelUse, ...] = ()
 
 
 @message(67)
 @dataclass(frozen=True)
 class EntryUpdate:
-    """What one entry spends, runs and is asked for, as far as it has changed.
+    """Token usage, demand and running work of one entry, in full or as a delta.
 
-    ``used`` and ``asked`` are sums since the start of the process, and ``running`` is
-    what runs now, so that a lost or doubled message counts nothing twice.
+    ``usage`` and ``demand`` are totals since the process started, and ``work`` is the
+    current state, so lost or duplicated messages cause no wrong count.
     """
 
     usage: dict[Account, float]
     demand: dict[Model, float]
     work: tuple[UpstreamWork, ...]
     is_full: bool = True
-    """Whether this is all; what is not in it is then nothing."""
+    """Whether the update is complete, so that upstreams absent from it have no work."""
 
 
 @message(68)
 @dataclass(frozen=True)
 class LoadRequest:
-    """Asks the holder of the orders lease for a model, or an adapter somewhere."""
+    """Asks the leader to load a model, or an adapter at a given upstream."""
 
     model: Model
     adapter: Adapter | None
     upstream: Upstream | None
     demand: float = 0.0
-    """What callers have asked of the model at the sender, as in ``NodeNews``."""
+    """Demand for the model at the sender, as in ``EntryUpdate``."""
 
 
 @message(71)
 @dataclass(frozen=True)
 class InventoryUpdate:
-    """What an engine holds, from the one that gives it orders."""
+    """Models and adapters resident on an engine, as published by the leader."""
 
     upstream: Upstream
     started_at_ms: int
     order_count: int
     models: dict[Model, tuple[Adapter, ...]]
     loading: dict[Model, float]
-    """Models that are being loaded, with the seconds left."""
+    """Models that are loading, with the seconds remaining."""
     epoch: Epoch = Epoch(0)
     sequence: int = 0
-    """Rises with each message under an epoch; they reach an entry by several ways."""
+    """Increases within an epoch: messages arrive over several paths, out of order."""
 
 
 @message(63)
 @dataclass(frozen=True)
 class LeaseRenewed:
-    """The holder of the lease tells the version that it wrote ``age`` seconds ago."""
+    """Version of the orders lease that the leader wrote ``age_s`` seconds ago."""
 
     version: int
     age_s: float
@@ -93,7 +93,7 @@
 @message(64)
 @dataclass(frozen=True)
 class StoreProbe:
-    """The holder of the lease can't reach the store and asks whether others can."""
+    """Sent by a leader that can't reach the store, to ask whether peers can."""
 
     epoch: Epoch
 
@@ -101,7 +101,7 @@
 @message(65)
 @dataclass(frozen=True)
 class StoreProbeReply:
-    """Answers a ``StoreAsk`` of an epoch."""
+    """Reply to the ``StoreProbe`` of an epoch."""
 
     epoch: Epoch
     reachable: bool
@@ -110,9 +110,9 @@
 @message(66)
 @dataclass(frozen=True)
 class LeaseReleased:
-    """The sender gives orders under an epoch no more.
+    """Announces that the sender sends no more orders under an epoch.
 
-    ``ages`` are the seconds since its last order to each engine.
+    ``order_ages_s`` are the seconds since its last order to each engine.
     """
 
     epoch: Epoch
@@ -121,21 +121,21 @@
 
 @dataclass(frozen=True)
 class BroadcastItem:
-    """One message that goes to all entries, by whatever way it reaches them."""
+    """One message to all entries, independent of the path that delivers it."""
 
     origin: Vm
     incarnation: Incarnation
     sequence: int
-    """Rises with each message of its origin's process."""
+    """Increases with each message of the origin's process."""
     age_ms: int
-    """How long it has waited in entries that passed it on."""
+    """Total time spent in the queues of the entries that relayed the message."""
     body: bytes
 
 
 @message(69)
 @dataclass(frozen=True)
 class BroadcastBatch:
-    """Messages for all, from one neighbour to another; an empty one tells it lives."""
+    """Broadcast items sent to one neighbour; an empty batch is a heartbeat."""
 
     direction: Way
     items: tuple[BroadcastItem, ...]
@@ -143,20 +143,20 @@
 
 @dataclass(frozen=True)
 class CrashReport:
-    """An upstream that may have crashed, and the calls that were lost there."""
+    """An upstream that may have crashed, and the requests that were lost there."""
 
     upstream: Upstream
     started_at_ms: int
     age_ms: int
     confirmed: bool
-    """Whether the upstream takes no connections any more."""
+    """Whether the upstream was seen to have ended."""
     lost: dict[Fingerprint, bool]
-    """Whether each had just begun to run, or not answered yet."""
+    """Whether each request had only just started to run or had not answered yet."""
 
 
 @dataclass(frozen=True)
 class LivenessReport:
-    """An upstream that lived some milliseconds ago."""
+    """An upstream that was alive ``age_ms`` milliseconds ago."""
 
     upstream: Upstream
     started_at_ms: int
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True)
 class Trial:
-    """A suspected call that runs at an upstream, or is about to run at one."""
+    """Isolated run of a suspect request; ``upstream`` is None until it is sent."""
 
     fingerprint: Fingerprint
     upstream: Upstream | None
@@ -174,38 +174,39 @@
 @message(72)
 @dataclass(frozen=True)
 class CrashUpdate:
-    """What one entry saw of crashes and of the calls that may be to blame.
+    """Crashes that one entry observed, and the state of the suspect requests.
 
-    ``crashes``, ``alive`` and ``completed`` are told again for a while, and count once.
+    ``crashes``, ``alive`` and ``completed`` are resent for a while; receivers count
+    each of them once.
     """
 
     crashes: tuple[CrashReport, ...]
     alive: tuple[LivenessReport, ...]
     completed: dict[Fingerprint, int]
-    """Milliseconds since suspected calls came to their end."""
+    """Milliseconds since suspect requests completed."""
     trials: tuple[Trial, ...]
-    """All that run at the sender now, or are about to."""
+    """All trials that run at the sender or are announced there."""
     blocked: dict[Fingerprint, int]
-    """Seconds for which calls stay blocked."""
+    """Seconds for which requests remain blocked."""
 
 
 @dataclass(frozen=True)
 class ReportedLimit:
-    """What an upstream's newest answer says of its limit."""
+    """Request limit in the newest answer of an upstream."""
 
     upstream: Upstream
     started_at_ms: int
     is_limited: bool
-    """Whether it names one; it has ended if not."""
+    """Whether the answer has a limit; if not, the limit has been lifted."""
     rate_per_s: float | None
-    """None if it can't be read."""
+    """None if the limit can't be parsed."""
     age_ms: int
 
 
 @message(76)
 @dataclass(frozen=True)
 class EraUpdate:
-    """The store has come back from a copy; ``era`` rises each time."""
+    """Announces that the store was restored from an older copy, in ``era``."""
 
     era: int
 
@@ -213,7 +214,7 @@
 @message(73)
 @dataclass(frozen=True)
 class LimitUpdate:
-    """Limits that upstreams told the sender, or that have ended."""
+    """Request limits that upstreams reported to the sender, or lifted."""
 
     limits: tuple[ReportedLimit, ...]
 
@@ -221,7 +222,7 @@
 @message(74)
 @dataclass(frozen=True)
 class LimitRequest:
-    """Asks the coordinator for a place at an upstream that takes ``rate`` a second."""
+    """Asks the leader for a grant at an upstream limited to ``rate`` requests/s."""
 
     upstream: Upstream
     started_at_ms: int
@@ -231,7 +232,7 @@
 @message(75)
 @dataclass(frozen=True)
 class LimitGrant:
-    """Answers a ``LimitAsk``: a place now, or milliseconds until it may ask again."""
+    """Reply to a ``LimitRequest``: one request now, or the wait until the next try."""
 
     upstream: Upstream
     started_at_ms: int
--- a/src/persimmonhitch/direct/peer_work.py
+++ b/src/persimmonhitch/direct/peer_work.py
@@ -1,4 +1,4 @@
-"""What the other entries run at each upstream, from what they tell."""
+"""Work of the peers at each upstream, from the updates that they send."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -8,8 +8,8 @@
 from .peer_messages import EntryUpdate, ModelUse, UpstreamWork
 
 PEER_UPDATE_TTL_S: Final = 1.5
-"""Seconds after which a silent peer's work counts as done; what a parent that has died
-no longer passes on comes by another way before that."""
+"""Time after which the work of an unresponsive peer is dropped; long enough for updates
+to be relayed over another path when a parent has died."""
 
 
 @dataclass
@@ -21,7 +21,7 @@
     prefill_tokens: int = 0
 
     def add(self, work: UpstreamWork, sign: int) -> None:
-        """Count one peer's work, or take it off."""
+        """Add the work of one peer, or subtract it if ``sign`` is -1."""
         self.requests += sign * work.requests
         self.tokens += sign * work.tokens
         self.prefill_tokens += sign * work.prefill_tokens
@@ -34,9 +34,9 @@
 
 
 class PeerWork:
-    """Sums over all peers, kept as they change; times are monotonic seconds.
+    """Totals over all peers, updated incrementally; times are monotonic seconds.
 
-    A look at an upstream then costs the same however many entries there are.
+    The cost of a lookup does not depend on the number of entries.
     """
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self._totals: defaultdict[Upstream, WorkTotals] = defaultdict(WorkTotals)
 
     def receive(self, vm: Vm, msg: EntryUpdate, now: float) -> None:
-        """Take what a peer runs, or what has changed of it."""
+        """Apply the full or incremental update of a peer."""
         peer = self._peers.setdefault(vm, _Peer(now))
         peer.received_at = now
         if msg.is_full:
@@ -64,7 +64,7 @@
             peer.work[work.upstream] = work
 
     def expire(self, now: float) -> None:
-        """Forget peers that have said nothing for long."""
+        """Drop the work of peers whose updates have stopped."""
         expired = [
             vm
             for vm, peer in self._peers.items()
@@ -79,10 +79,10 @@
         return self._totals.get(upstream) or WorkTotals()
 
     def model_uses(self, upstream: Upstream) -> set[ModelUse]:
-        """Return what calls of peers use at an upstream."""
+        """Return the models and adapters that requests of peers use at an upstream."""
         work = (peer.work.get(upstream) for peer in self._peers.values())
         return {use for item in work if item is not None for use in item.model_uses}
 
     def all_work(self) -> list[UpstreamWork]:
-        """Return all work that peers have told."""
+        """Return the work of all peers at all upstreams."""
         return [item for peer in self._peers.values() for item in peer.work.values()]
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -1,4 +1,4 @@
-"""Keeps calls that crash upstreams from reaching more of them."""
+"""Blocks requests that crash upstreams, and isolates suspects."""
 
 import math
 import random
@@ -19,28 +19,29 @@
 from .peer_messages import CrashReport, CrashUpdate, LivenessReport, Trial
 
 CHECK_DELAY_S: Final = 0.1
-"""Seconds after a loss at which the upstream is asked whether it takes connections."""
+"""Delay between a lost connection and the test whether the upstream accepts another."""
 RESEND_INTERVAL_S: Final = 2.0
-"""Seconds after which all is told again, for entries that have missed some."""
+"""Interval of full updates, for entries that missed an incremental one."""
 RESEND_TTL_S: Final = 60.0
-"""Seconds for which an entry goes on telling what it saw."""
+"""Time for which an entry resends an observation."""
 ANNOUNCE_DURATION_S: Final = 0.25
-"""Seconds for which the others are told of a suspected call before it is sent; two
-entries that send it at once would both lose an upstream."""
+"""Time between the announcement of a trial to the peers and its start; two entries that
+send the same suspect at once would both lose an upstream."""
 ANNOUNCEMENT_TTL_S: Final = 0.3
-"""Seconds after which a call is not announced any more that nobody waits to send."""
+"""Time after which an announcement ends if no attempt waits to be sent."""
 EXPIRY_INTERVAL_S: Final = 1.0
-"""Seconds between two looks at what is old."""
+"""Interval at which outdated observations are dropped."""
 TRIAL_TTL_S: Final = 2.5
-"""Seconds after which a silent peer's calls count as ended."""
+"""Time after which the trials of an unresponsive peer count as ended."""
 
 
 @dataclass
 class _LocalCrash:
-    """What this entry saw of one crash."""
+    """A crash of an upstream to which this entry had connections."""
 
     record: UpstreamRecord
     at: float
+    """When the newest connection was lost."""
     check_at: float
     confirmed: bool = False
     lost: dict[Fingerprint, bool] = field(default_factory=dict)
@@ -49,6 +50,7 @@
 @dataclass(frozen=True)
 class _PeerTrials:
     at: float
+    """When the update of the peer was received."""
     trials: tuple[Trial, ...]
 
 
@@ -56,25 +58,25 @@
 class _Announcement:
     started_at: float
     requested_at: float
-    """When a call last waited to be sent."""
+    """When an attempt last waited for the trial."""
 
 
 def instance_of(record: UpstreamRecord) -> UpstreamStart:
-    """Return which life of an upstream a record is of."""
+    """Return the instance of an upstream that a record describes."""
     return UpstreamStart(record.name, record.born)
 
 
 class PoisonGuard:
-    """Blocks calls that have crashed upstreams; safe to use from many threads.
+    """Blocks requests that have crashed upstreams; thread-safe.
 
     Parameters
     ----------
     vm : Vm
-        The one that this entry runs on.
-    changed : callable
-        Called when there is something that others have to hear at once.
-    alone : callable
-        Returns whether this entry hears none of the others.
+        VM of this entry.
+    on_change : callable
+        Called when an update for the peers is due at once.
+    is_isolated : callable
+        Returns whether this entry receives no updates from any peer.
     """
 
     def __init__(
@@ -97,17 +99,17 @@
         self._alive: dict[UpstreamStart, float] = {}
         self._completed: dict[Fingerprint, float] = {}
         self._own_blocked: dict[Fingerprint, float] = {}
-        """Calls that were judged here, and when."""
+        """When this entry itself blocked each of these requests."""
         self._unsent: set[UpstreamStart | Fingerprint] = set()
-        """What of all this the others have not been told yet."""
+        """Changed instances and requests that no update has carried yet."""
         self._update_due = False
         self._full_update_at = -math.inf
         self._expired_at = -math.inf
 
-    # -- calls -------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------
 
     def refusal(self, fingerprint: Fingerprint) -> Failure | None:
-        """Return why a call is not sent to any upstream, if it is not."""
+        """Return the refusal of a blocked request, None if it may be sent."""
         with self._lock:
             remaining_s = self._history.blocked_for(fingerprint, self._clock())
             is_suspected = self._history.blame(fingerprint) is not None
@@ -115,7 +117,7 @@
             reason = "upstreams crashed each time that this request ran"
             return Failure(ErrorCode.CRASHES_UPSTREAMS, reason, retry_after=remaining_s)
         if is_suspected and self._is_isolated():
-            # The others may have seen it crash more; they take its caller's next try.
+            # Peers may know of more crashes; the caller's next try can reach one.
             reason = (
                 "an upstream crashed while this request ran; another entry may know"
             )
@@ -123,7 +125,7 @@
         return None
 
     def exclude_upstreams(self, request: Need, views: Iterable[Lane]) -> None:
-        """Close lanes to a suspected call that may not run there now."""
+        """Exclude upstreams on which a suspect request may not run now."""
         with self._lock:
             if not self._history.is_suspect(request.call):
                 return
@@ -135,7 +137,7 @@
                 view.trust = 0.0
 
     def _may_run_trial(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Return whether a suspected call may be sent; announce it before."""
+        """Return whether a suspect may be sent; announce its trial first if needed."""
         if (
             self._history.waits_for_proof(fingerprint, now)
             or fingerprint in self._running
@@ -155,7 +157,7 @@
         return now - announcement.started_at >= ANNOUNCE_DURATION_S
 
     def trial_refusal(self, fingerprint: Fingerprint) -> Failure | None:
-        """Return what a suspected call is told that found no place."""
+        """Return the refusal of a suspect that found no upstream, None for others."""
         with self._lock:
             suspect = self._history.is_suspect(fingerprint)
         if not suspect:
@@ -164,7 +166,7 @@
         return Failure(ErrorCode.OVERLOADED, reason, retry_after=_retry_after_s())
 
     def started(self, fingerprint: Fingerprint, upstream: Upstream) -> None:
-        """Note that a call is sent."""
+        """Record that an attempt is sent."""
         with self._lock:
             self._announced.pop(fingerprint, None)
             self._running.setdefault(fingerprint, Counter())[upstream] += 1
@@ -172,7 +174,7 @@
                 self._mark_changed()
 
     def ended(self, fingerprint: Fingerprint, upstream: Upstream) -> None:
-        """Note that an attempt has ended, however it ended."""
+        """Record that an attempt has ended, with any outcome."""
         with self._lock:
             counts = self._running[fingerprint]
             counts[upstream] -= 1
@@ -186,7 +188,10 @@
     def connection_lost(
         self, fingerprint: Fingerprint, record: UpstreamRecord, fresh: bool
     ) -> None:
-        """Note that a call was lost with the connection to its upstream."""
+        """Record that a request lost the connection to its upstream.
+
+        ``fresh`` tells whether it had only just started to run or had not answered yet.
+        """
         now = self._clock()
         instance = instance_of(record)
         with self._lock:
@@ -199,7 +204,7 @@
             self._mark_changed(instance)
 
     def answered(self, record: UpstreamRecord, sent_at: float) -> None:
-        """Note that an upstream has answered a request that was sent at a time."""
+        """Record that an upstream has answered a request sent at ``sent_at``."""
         instance = instance_of(record)
         with self._lock:
             if not self._history.crashed(instance):
@@ -208,7 +213,7 @@
                 self._refute(instance, sent_at)
 
     def completed(self, fingerprint: Fingerprint) -> None:
-        """Note that a call came to its end."""
+        """Record that a request ran to completion, which clears it."""
         now = self._clock()
         with self._lock:
             if self._history.blame(fingerprint) is None:
@@ -220,22 +225,22 @@
                 self._mark_changed(fingerprint)
 
     def _drop_losses(self, fingerprint: Fingerprint, completed_at: float) -> None:
-        """Tell no more of a call that came to its end after it was lost."""
+        """Remove a completed request from the earlier crashes at which it was lost."""
         for crash in self._crashes.values():
             if crash.at <= completed_at:
                 crash.lost.pop(fingerprint, None)
 
     def unreachable(self, record: UpstreamRecord) -> None:
-        """Note that an upstream takes no connection."""
+        """Record that an upstream accepts no connection."""
         instance = instance_of(record)
         with self._lock:
             if self._history.crashed(instance):
                 self._confirm(instance)
 
-    # -- whether upstreams have ended ----------------------------------------------
+    # -- confirmation of crashes ---------------------------------------------------
 
     def due_checks(self) -> list[UpstreamRecord]:
-        """Return upstreams to connect to now, each once for a loss."""
+        """Return upstreams whose connection check is due, once per crash."""
         now = self._clock()
         with self._lock:
             due = [crash for crash in self._crashes.values() if crash.check_at <= now]
@@ -244,7 +249,7 @@
         return [crash.record for crash in due if not crash.confirmed]
 
     def update_upstreams(self, records: Iterable[UpstreamRecord]) -> None:
-        """Take the list of upstreams; one that started anew has ended before."""
+        """Apply the list of upstreams; a new instance confirms the end of the old."""
         with self._lock:
             if not self._crashes:
                 return
@@ -276,14 +281,14 @@
         now = self._clock()
         for fingerprint in self._history.judge(now):
             remaining_s = self._history.blocked_for(fingerprint, now)
-            log("call_blocked", call=fingerprint, seconds=remaining_s, source="judged")
+            log("call_blocked", call=fingerprint, seconds=remaining_s, source="local")
             self._own_blocked[fingerprint] = now
             self._mark_changed(fingerprint)
 
-    # -- what entries tell each other ----------------------------------------------
+    # -- updates between entries ---------------------------------------------------
 
     def next_update(self) -> CrashUpdate | None:
-        """Return what the others have to hear now, None if there is nothing."""
+        """Return the update that is due for the peers, None if there is none."""
         now = self._clock()
         with self._lock:
             self._expire(now)
@@ -333,7 +338,7 @@
         return CrashUpdate(crashes, alive, completed, tuple(trials), blocked)
 
     def receive(self, vm: Vm, msg: CrashUpdate, as_of: float) -> None:
-        """Take what another entry saw, which was so at ``as_of``."""
+        """Apply the observations of a peer as of the monotonic time ``as_of``."""
         with self._lock:
             now = self._clock()
             self._peers[vm] = _PeerTrials(now, msg.trials)
@@ -355,12 +360,12 @@
             self._block_attributed()
 
     def receive_blocked(self, blocked: Mapping[Fingerprint, float]) -> None:
-        """Take calls that the store has as blocked, with the time until which."""
+        """Apply blocked requests from the store, with the end of each block."""
         with self._lock:
             self._add_blocked(blocked, "store")
 
     def blocked(self) -> dict[Fingerprint, float]:
-        """Return blocked calls with the monotonic time until which they are."""
+        """Return blocked requests with the monotonic time at which each block ends."""
         with self._lock:
             return dict(self._history.blocked())
 
@@ -373,9 +378,9 @@
                 )
 
     def _mark_changed(self, key: UpstreamStart | Fingerprint | None = None) -> None:
-        """Have the others told at once; ``key`` is what is new to tell, if not a trial.
+        """Request an update at once; ``key`` is the changed instance or request.
 
-        Trials are told in full each time.
+        Trials need no key, since each update carries all of them.
         """
         if key is not None:
             self._unsent.add(key)
@@ -427,7 +432,7 @@
                     yield vm, trial
 
     def _all_trials(self, now: float) -> set[Trial]:
-        """Return which suspected calls run where, of all entries."""
+        """Return the trials of all entries."""
         return self._trials() | {trial for _, trial in self._peer_trials(now)}
 
 
--- a/src/persimmonhitch/direct/quota.py
+++ b/src/persimmonhitch/direct/quota.py
@@ -1,4 +1,4 @@
-"""Holds every account to its rate together with the other entries."""
+"""Enforces the rate of each account jointly with the other entries."""
 
 import math
 import threading
@@ -11,12 +11,12 @@
 
 
 class Quota:
-    """Buckets of all accounts; safe to use from many threads.
+    """Token buckets of all accounts; thread-safe.
 
     Parameters
     ----------
     peers : callable
-        Returns the other entries of the fleet, in reach or not.
+        Returns the other entries of the fleet, reachable or not.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._received: dict[Vm, float] = {}
 
     def update(self, cfg: FleetConfig) -> None:
-        """Take the rates of a new configuration."""
+        """Apply the rates of a new configuration."""
         now = self._clock()
         with self._lock:
             for account in cfg.accounts.values():
@@ -46,7 +46,7 @@
             bucket.resize(account.rate, account.burst)
 
     def spend(self, account: Account, cost: Tokens) -> float | None:
-        """Spend tokens; return None, or the seconds until they are there."""
+        """Spend tokens; return None, or the seconds until enough are available."""
         now = self._clock()
         peers = self._peers()
         with self._lock:
@@ -58,7 +58,7 @@
             return bucket.spend(cost, lag_s)
 
     def is_isolated(self) -> bool:
-        """Return whether all other entries are silent, if there are any."""
+        """Return whether there are peers and all of them are unresponsive."""
         now = self._clock()
         peers = self._peers()
         with self._lock:
@@ -67,21 +67,22 @@
             )
 
     def refund(self, account: Account, cost: Tokens) -> None:
-        """Give back the tokens of a request that has not run."""
+        """Return the tokens of a request that did not run."""
         with self._lock:
             self._buckets[account].refund(cost)
 
     def tokens_used(self) -> dict[Account, float]:
-        """Return what each account has spent here."""
+        """Return the tokens that each account has spent at this entry."""
         with self._lock:
             return {name: bucket.used for name, bucket in self._buckets.items()}
 
     def receive(
         self, vm: Vm, tokens_used: Mapping[Account, float], as_of: float | None = None
     ) -> None:
-        """Take off what a peer has spent, as far as it has changed.
+        """Deduct the tokens spent at a peer since its previous update.
 
-        ``as_of`` is when it was so, if that was not just now.
+        ``used`` are totals since the start of the peer, and ``as_of`` is the monotonic
+        time at which they held, now if None.
         """
         now = self._clock()
         with self._lock:
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -1,4 +1,4 @@
-"""Limits of requests that upstreams in need name in their answers."""
+"""Request limits that overloaded upstreams report in their answers."""
 
 import math
 import random
@@ -19,38 +19,39 @@
 from .poison import instance_of
 
 RESEND_INTERVAL_S: Final = 2.0
-"""Seconds after which limits are told again, for entries that have missed some."""
+"""Interval of full updates, for entries that missed an incremental one."""
 RESEND_TTL_S: Final = 30.0
-"""Seconds for which an entry goes on telling what an upstream told it."""
+"""Time for which an entry resends a limit that an upstream reported to it."""
 RETRY_JITTER: Final = 0.5
-"""Part of a wait by which it is lengthened at random, so that entries that were told to
-wait don't ask again at the same moment."""
+"""Maximum random extension of a wait, as a fraction, so that waiting entries don't
+retry at the same moment."""
 
 
 @dataclass
 class _LimitState:
-    """What was last heard of one upstream's limit."""
+    """The last known limit of one upstream."""
 
     limit: RequestLimit | None
-    """None if it has ended."""
+    """None if the limit was lifted."""
     rate: float
+    """Requests a second that are sent under the limit."""
     reported_at: float
-    """When its answer said so, in monotonic seconds."""
+    """When the upstream reported the limit, in monotonic seconds."""
     own_at: float
-    """When this entry itself got such an answer."""
+    """When this entry last received a limit from the upstream itself."""
 
 
 class UpstreamLimits:
-    """Keeps to the limits of upstreams; safe to use from many threads.
+    """Enforces the request limits of upstreams; thread-safe.
 
     Parameters
     ----------
-    ask : callable
-        Asks the coordinator for a place at an upstream, if there is one.
-    entries : callable
+    request_grant : callable
+        Requests a grant at an upstream from the leader, if there is one.
+    entry_count : callable
         Returns the number of entries of the fleet.
-    changed : callable
-        Called when others have to hear something, or what waits may go on.
+    on_change : callable
+        Called when an update is due or waiting requests may be sent.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._entry_count = entry_count
         self._clock = clock
         self._on_change = on_change
-        # An ask of the coordinator itself is answered within the call.
+        # Reentrant: on the leader itself, a grant is received while it is requested.
         self._lock = threading.RLock()
         self._states: dict[UpstreamStart, _LimitState] = {}
         self._allowances: dict[Upstream, tuple[UpstreamStart, Allowance]] = {}
@@ -72,12 +73,12 @@
         self._unsent: set[UpstreamStart] = set()
         self._full_update_at = -math.inf
 
-    # -- what upstreams say --------------------------------------------------------
+    # -- reported limits -----------------------------------------------------------
 
     def answered(
         self, record: UpstreamRecord, limit: RequestLimit | None, sent_at: float
     ) -> None:
-        """Take what an answer says to a request that was sent at a time."""
+        """Apply the limit in an answer to a request sent at ``sent_at``."""
         if limit is None and not self._states:
             return
         instance, now = instance_of(record), self._clock()
@@ -92,7 +93,7 @@
                 self._on_change()
 
     def receive(self, _vm: Vm, msg: LimitUpdate, as_of: float) -> None:
-        """Take what an upstream told another entry."""
+        """Apply limits that upstreams reported to a peer."""
         with self._lock:
             for item in msg.limits:
                 instance = UpstreamStart(item.upstream, item.started_at_ms)
@@ -141,7 +142,7 @@
             self._grants[instance].resize(rate)
 
     def update_upstreams(self, records: Iterable[UpstreamRecord]) -> None:
-        """Forget upstreams that have gone or started anew."""
+        """Drop instances of upstreams that were removed or restarted."""
         if not self._states:
             return
         instances = {instance_of(record) for record in records}
@@ -152,10 +153,10 @@
                 if self._allowances.get(instance.name, (None,))[0] == instance:
                     del self._allowances[instance.name]
 
-    # -- calls ---------------------------------------------------------------------
+    # -- requests ------------------------------------------------------------------
 
     def exclude_limited(self, views: Iterable[Lane]) -> frozenset[Upstream]:
-        """Close lanes to which nothing may be sent now; return their upstreams."""
+        """Exclude upstreams that accept no request now; return their names."""
         if not self._allowances:
             return frozenset()
         excluded = set()
@@ -174,7 +175,7 @@
         return allowance.has_place(now)
 
     def sent(self, upstream: Upstream) -> None:
-        """Count a call that is sent."""
+        """Count a request that is sent."""
         if self._allowances:
             with self._lock:
                 found = self._allowances.get(upstream)
@@ -182,9 +183,9 @@
                     found[1].use()
 
     def wait_s(self, upstreams: Iterable[Upstream]) -> float | None:
-        """Return the least seconds until a call may be sent to one of some upstreams.
+        """Return the shortest wait in seconds until one of the upstreams is available.
 
-        None if it is not known yet for any of them.
+        None if there are no upstreams or the wait for one of them is unknown.
         """
         now = self._clock()
         with self._lock:
@@ -193,10 +194,10 @@
         known = [wait for wait in waits if wait is not None]
         return min(known) if known and len(known) == len(waits) else None
 
-    # -- the coordinator -----------------------------------------------------------
+    # -- the leader ----------------------------------------------------------------
 
     def grant(self, vm: Vm, msg: LimitRequest) -> LimitGrant:
-        """Answer an entry that asks for a place, as the one that gives them out."""
+        """Answer the request of an entry for a grant, as the leader."""
         instance, now = UpstreamStart(msg.upstream, msg.started_at_ms), self._clock()
         with self._lock:
             wait_s = self._grants_for(instance, msg.rate).take(now)
@@ -214,11 +215,11 @@
         return grants
 
     def acquire_order_slot(self, record: UpstreamRecord) -> bool:
-        """Return whether an order may be sent to an upstream, and count it."""
+        """Return whether an order may be sent to an upstream; count it if so."""
         return self._acquire_slot(record, Grants.take_order)
 
     def acquire_report_slot(self, record: UpstreamRecord) -> bool:
-        """Return whether an upstream may be asked for a report, and count it."""
+        """Return whether a report may be requested from an upstream; count it if so."""
         return self._acquire_slot(record, Grants.take_report)
 
     def _acquire_slot(
@@ -232,7 +233,7 @@
             return acquire(self._grants_for(instance, state.rate), self._clock())
 
     def receive_grant(self, grant: LimitGrant) -> None:
-        """Take the coordinator's answer."""
+        """Apply the answer of the leader."""
         with self._lock:
             found = self._allowances.get(grant.upstream)
             if found is None or found[0].born != grant.started_at_ms:
@@ -240,10 +241,10 @@
             found[1].answered(grant.wait_ms / 1000, self._clock())
         self._on_change()
 
-    # -- news ----------------------------------------------------------------------
+    # -- updates between entries ---------------------------------------------------
 
     def next_update(self) -> LimitUpdate | None:
-        """Return what the others have to hear now, None if there is nothing."""
+        """Return the limits to send to the peers, None if there are none."""
         if not self._states:
             return None
         now = self._clock()
--- a/src/persimmonhitch/limits/pooled.py
+++ b/src/persimmonhitch/limits/pooled.py
@@ -1,22 +1,21 @@
-"""One token bucket of an account, kept by every entry from what all of them spend.
-
-Load pattern: an account's callers are spread unevenly over the entries, and one account
-now and then sends several times its rate. With a fixed part of the rate for each entry
-an account would be refused at the entry that most of its callers reach, though the
-fleet as a whole has tokens left; its users see refusals below their rate. With no
-exchange it would get its rate once for each entry.
-
-Every entry spends from a bucket of the whole rate and takes off what the others say
-they spent. What they have spent since then is not known; it is taken to be what they
-spent a moment ago in as much time, or the whole rate if that is more, and held back.
-Without that, all entries find the last tokens of an account at the same moment, and
-each spends them: the overshoot grows with the lateness of news and the number of
-entries. What is spent beyond the rate all the same takes the level below zero and is
-paid back before anything more is admitted. Of an entry that has said nothing for
-``SILENT_AFTER`` it is assumed that it spends an equal part of the rate and of the
-burst: two halves of a fleet that don't hear each other then admit no more than both
-together, and neither does a process that has just started and does not know yet what
-others have spent.
+"""Token bucket of an account, replicated at every entry from the usage of all entries.
+
+Load pattern: the callers of an account are spread unevenly over the entries, and an
+account occasionally sends several times its rate. With a fixed share of the rate per
+entry, an account would be refused at the entry that most of its callers reach while the
+fleet as a whole has tokens left. Without an exchange between entries, an account would
+get its full rate at each entry.
+
+Every entry spends from a bucket with the full rate and deducts the usage that its peers
+report. Usage that is not reported yet is estimated from the recent rate of the peers,
+or from the full rate if that is higher, and reserved. Without the reserve, all entries
+would find the last tokens of an account at the same moment and each would spend them,
+with an overshoot that grows with the delay of updates and the number of entries. Usage
+beyond the rate makes the level negative and is paid back before more requests are
+admitted. An entry that is unresponsive for ``PEER_TIMEOUT_S`` is assumed to spend an
+equal share of the rate and of the burst. So two halves of a partitioned fleet together
+admit no more than the whole, and a process that has just started, without knowledge of
+the usage of its peers, does not admit too much either.
 """
 
 import math
@@ -26,42 +25,43 @@
 from ..ids import Tokens, Vm
 
 UPDATE_INTERVAL_S: Final = 0.2
-"""Seconds between two messages of an entry."""
+"""Interval between two updates of an entry."""
 RATE_WINDOW_S: Final = 0.2
-"""Seconds over which the rate is averaged at which the others spend."""
+"""Averaging time of the rate at which peers spend."""
 PEER_TIMEOUT_S: Final = 1.0
-"""Seconds; five messages missed in a row."""
+"""Time without an update after which a peer is unresponsive: five missed updates."""
 
 
 @dataclass
 class PooledBucket:
-    """Level of one account, as one entry knows it; times are monotonic seconds."""
+    """Bucket of one account at one entry; times are monotonic seconds."""
 
     rate: float
     burst: float
     updated_at: float
     used: float = 0.0
-    """Tokens spent here since the process started."""
+    """Tokens spent at this entry since the process started."""
     level: float = 0.0
     _peer_rate: float = 0.0
-    """Tokens a second that the others spent of late, as of ``_others_at``."""
+    """Tokens a second that peers spent recently, as of ``_peer_rate_at``."""
     _peer_rate_at: float = 0.0
     _peer_used: dict[Vm, float] = field(default_factory=dict)
+    """The usage that each peer reported last."""
 
     _max_level: float = 0.0
-    """The level that can be reached: the burst less the part of silent entries."""
+    """Upper bound of the level: the burst less the share of unresponsive entries."""
 
     def __post_init__(self) -> None:
         self.level = self._max_level = self.burst
 
     def resize(self, rate: float, burst: float) -> None:
-        """Take a new rate and burst; what no longer fits is lost."""
+        """Apply a new rate and burst; tokens above the new burst are dropped."""
         self.rate, self.burst = rate, burst
         self._max_level = burst
         self.level = min(self.level, burst)
 
     def advance(self, now: float, unresponsive: int, entry_count: int) -> None:
-        """Refill up to ``now``, less the part of entries that say nothing."""
+        """Refill up to ``now``, less the share of unresponsive entries."""
         elapsed_s = max(0.0, now - self.updated_at)
         self.updated_at = max(now, self.updated_at)
         unresponsive_share = unresponsive / max(1, entry_count)
@@ -70,16 +70,16 @@
         self.level = min(self._max_level, self.level + refill)
 
     def _decayed_rate(self, now: float) -> float:
-        """Return the rate at which the others spend now."""
+        """Return the rate at which peers spend, decayed to ``now``."""
         elapsed_s = max(0.0, now - self._peer_rate_at)
         self._peer_rate_at = max(now, self._peer_rate_at)
         self._peer_rate *= math.exp(-elapsed_s / RATE_WINDOW_S)
         return self._peer_rate
 
     def spend(self, cost: Tokens, lag_s: float = 0.0) -> float | None:
-        """Spend tokens here; return None, or the seconds until they are there.
+        """Spend tokens; return None, or the seconds until enough are available.
 
-        ``late`` are the seconds for which the others may have spent unheard.
+        ``lag_s`` is the time for which the usage of peers is not reported yet.
         """
         if self.rate <= 0:
             return None
@@ -88,7 +88,7 @@
             self.level -= cost
             self.used += cost
             return None
-        # More than a full bucket never comes; it is let in alone on one.
+        # A cost above the full level is admitted only when the bucket is full.
         if cost > self._max_level <= level:
             self.level -= cost
             self.used += cost
@@ -96,21 +96,21 @@
         return (min(cost, self._max_level) - level) / self.rate
 
     def refund(self, cost: Tokens) -> None:
-        """Give back the tokens of a request that has not run."""
+        """Return the tokens of a request that did not run."""
         if self.rate > 0:
             self.level = min(self.burst, self.level + cost)
             self.used -= cost
 
     def receive(self, vm: Vm, used: float, now: float = 0.0) -> None:
-        """Take off what a peer has spent since it was last heard."""
+        """Deduct the tokens that a peer has spent since its previous update."""
         previous = self._peer_used.get(vm)
         self._peer_used[vm] = used
         if previous is None:
-            # What it spent before this process knew it is not known by time.
+            # The total of a new peer covers an unknown time.
             return
         spent = used - previous
         if spent < -self.burst:
-            # It started anew and counts from zero; refunds alone are smaller.
+            # The peer restarted and counts from zero; refunds alone are smaller.
             spent = used
         self.level = min(self.burst, self.level - spent)
         self._peer_rate = self._decayed_rate(now) + max(0.0, spent) / RATE_WINDOW_S
