--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -63,7 +63,7 @@
         order to each engine.
     broadcast : callable
         Sends an engine's inventory to this entry and all others.
-    read_rate : callable
+    prompt_read_rate : callable
         Returns the prompt tokens per second that an engine of a service processes.
     send : callable
         Sends an engine's inventory to the entry that requested an adapter load.
@@ -74,14 +74,14 @@
         vm: Vm,
         make_election: Callable[[LastOrderTimes], LeaderElection],
         broadcast: Callable[[InventoryUpdate], None],
-        read_rate: Callable[[Service], float],
+        prompt_read_rate: Callable[[Service], float],
         limits: UpstreamLimits,
         clock: Callable[[], float] = time.monotonic,
         send: Callable[[Vm, InventoryUpdate], object] = lambda _vm, _update: None,
     ) -> None:
         self.election = make_election(self._last_order_times)
         self._broadcast = broadcast
-        self._read_rate = read_rate
+        self._prompt_read_rate = prompt_read_rate
         self._send = send
         self._leading_since = 0.0
         self._clock = clock
@@ -344,8 +344,10 @@
             if service.engine is None:
                 continue
             candidates = [c for c in controllers if _is_candidate(c, service.name)]
-            engine_rate = self._read_rate(service.name)
-            demand = {model: rate / engine_rate for model, rate in demand_rates.items()}
+            engine_read_rate = self._prompt_read_rate(service.name)
+            demand = {
+                model: rate / engine_read_rate for model, rate in demand_rates.items()
+            }
             missing = self._missing[service.name]
             self._place_service(service.engine, missing, demand, candidates, now)
 
