--- a/src/persimmonhitch/decide/demand.py
+++ b/src/persimmonhitch/decide/demand.py
@@ -14,56 +14,56 @@
 
 from ..ids import Model, Vm
 
-FAST: Final = 2.0
-SLOW: Final = 15.0
+FAST_TAU_S: Final = 2.0
+SLOW_TAU_S: Final = 15.0
 """Time constants in seconds."""
-SLOW_PART: Final = 0.5
+SLOW_WEIGHT: Final = 0.5
 
 
 @dataclass
-class _Track:
+class _Averages:
     fast: float = 0.0
     slow: float = 0.0
 
 
 @dataclass
-class Demand:
+class DemandTracker:
     """Demand of all entries, from the sums that they tell."""
 
-    _sums: dict[tuple[Vm, Model], float] = field(default_factory=dict)
-    _fresh: dict[Model, float] = field(default_factory=dict)
-    _tracks: dict[Model, _Track] = field(default_factory=dict)
-    _asked_at: dict[Model, float] = field(default_factory=dict)
-    _at: float | None = None
+    _totals: dict[tuple[Vm, Model], float] = field(default_factory=dict)
+    _new_tokens: dict[Model, float] = field(default_factory=dict)
+    _rates: dict[Model, _Averages] = field(default_factory=dict)
+    _requested_at: dict[Model, float] = field(default_factory=dict)
+    _updated_at: float | None = None
 
-    def hear(self, vm: Vm, asked: Mapping[Model, float], now: float) -> None:
+    def receive(self, vm: Vm, totals: Mapping[Model, float], now: float) -> None:
         """Take the sums of one entry; an entry that starts anew begins at zero."""
-        for model, total in asked.items():
-            last = self._sums.get((vm, model), 0.0)
-            new = total - last if total >= last else total
-            self._sums[vm, model] = total
-            self._fresh[model] = self._fresh.get(model, 0.0) + new
-            if new > 0:
-                self._asked_at[model] = now
+        for model, total in totals.items():
+            previous = self._totals.get((vm, model), 0.0)
+            added = total - previous if total >= previous else total
+            self._totals[vm, model] = total
+            self._new_tokens[model] = self._new_tokens.get(model, 0.0) + added
+            if added > 0:
+                self._requested_at[model] = now
 
-    def asked_at(self) -> dict[Model, float]:
+    def requested_at(self) -> dict[Model, float]:
         """Return when each model was last asked for."""
-        return dict(self._asked_at)
+        return dict(self._requested_at)
 
     def rates(self, now: float) -> dict[Model, float]:
         """Return the tokens a second of every model that was asked for."""
-        passed = now - self._at if self._at is not None else 1.0
-        self._at = now
-        if passed > 0:
-            for model in self._tracks.keys() | self._fresh.keys():
-                rate = self._fresh.get(model, 0.0) / passed
-                self._move(self._tracks.setdefault(model, _Track()), rate, passed)
-            self._fresh = {}
+        elapsed = now - self._updated_at if self._updated_at is not None else 1.0
+        self._updated_at = now
+        if elapsed > 0:
+            for model in self._rates.keys() | self._new_tokens.keys():
+                rate = self._new_tokens.get(model, 0.0) / elapsed
+                self._update(self._rates.setdefault(model, _Averages()), rate, elapsed)
+            self._new_tokens = {}
         return {
-            model: max(track.fast, track.slow * SLOW_PART)
-            for model, track in self._tracks.items()
+            model: max(average.fast, average.slow * SLOW_WEIGHT)
+            for model, average in self._rates.items()
         }
 
-    def _move(self, track: _Track, rate: float, passed: float) -> None:
-        track.fast += (rate - track.fast) * -math.expm1(-passed / FAST)
-        track.slow += (rate - track.slow) * -math.expm1(-passed / SLOW)
+    def _update(self, average: _Averages, rate: float, elapsed: float) -> None:
+        average.fast += (rate - average.fast) * -math.expm1(-elapsed / FAST_TAU_S)
+        average.slow += (rate - average.slow) * -math.expm1(-elapsed / SLOW_TAU_S)
--- a/src/persimmonhitch/decide/dispatch.py
+++ b/src/persimmonhitch/decide/dispatch.py
@@ -31,57 +31,57 @@
 
 from ..ids import Adapter, Fingerprint, Model, Service, Upstream, Zone
 
-FETCH_COST: Final = 0.08
+ADAPTER_LOAD_COST_S: Final = 0.08
 """Seconds of waiting that a call takes on to stay where its adapter is."""
-ZONE_COST: Final = 0.04
+CROSS_ZONE_COST_S: Final = 0.04
 """Seconds; see the module."""
-READ_RATE: Final = 15_000.0
+DEFAULT_READ_RATE: Final = 15_000.0
 """Prompt tokens a second that an engine reads; a third less than the published rate of
 an engine that does nothing else."""
-LEAST_DOUBT: Final = 0.005
+MIN_WAIT_ERROR_S: Final = 0.005
 """Seconds by which waits always are in doubt: a step of an engine."""
-KV_PART: Final = 0.97
+MAX_KV_SHARE: Final = 0.97
 """Part of an engine's memory for tokens that calls may fill: prompts that are shared
 are counted once too often, outputs mostly end before their limit."""
 
 
 @dataclass(frozen=True)
-class Need:
+class DispatchRequest:
     """One call that looks for an upstream; times are monotonic seconds."""
 
     service: Service
     model: Model | None
     adapter: Adapter | None
-    prompt: int
-    tokens: int
+    prompt_tokens: int
+    kv_tokens: int
     rank: int
     arrived: float
-    aim_at: float
-    event_by: float
+    latency_target_at: float
+    first_event_by: float
     """When its caller leaves if nothing has come of a stream."""
     deadline_at: float
-    call: Fingerprint = Fingerprint("")
+    fingerprint: Fingerprint = Fingerprint("")
 
 
 @dataclass
-class Lane:
+class UpstreamView:
     """One upstream as this entry sees it, with the work of all entries."""
 
     upstream: Upstream
     zone: Zone
     slots: int
-    kv_tokens: int
+    kv_capacity: int
     running: int
-    tokens: int
+    kv_tokens: int
     unread: int
-    model_here: bool
-    adapter_here: bool
-    fetches: bool = True
+    has_model: bool
+    has_adapter: bool
+    loads_adapters: bool = True
     """Whether it takes an order for an adapter now; none while it loads a model."""
-    read_rate: float = READ_RATE
-    trust: float = 1.0
+    read_rate: float = DEFAULT_READ_RATE
+    traffic_share: float = 1.0
     """Part of its usual work that it gets while it returns from failures; 0 is none."""
-    silent: bool = False
+    unresponsive: bool = False
     """Whether it says nothing to the calls that run there."""
 
 
@@ -89,15 +89,15 @@
     """What is to be done for a call."""
 
     SEND = "send"
-    FETCH = "fetch"
+    LOAD_ADAPTER = "fetch"
     """Have the adapter loaded at the upstream, then look again."""
     LOAD = "load"
     """No upstream has the model."""
     WAIT = "wait"
     """All upstreams that could run it are full."""
-    WAIT_TO_FETCH = "wait_to_fetch"
+    WAIT_FOR_MODEL = "wait_to_fetch"
     """Its adapter is nowhere, and all upstreams of its model load another model."""
-    NONE = "none"
+    NO_UPSTREAM = "none"
     """There is no upstream."""
 
 
@@ -109,75 +109,83 @@
     upstream: Upstream | None = None
 
 
-def first_token_in(lane: Lane, need: Need) -> float:
+def first_token_delay(view: UpstreamView, request: DispatchRequest) -> float:
     """Return the seconds until a call's first token, if it were sent now."""
-    return (lane.unread + need.prompt) / lane.read_rate
+    return (view.unread + request.prompt_tokens) / view.read_rate
 
 
-def has_room(lane: Lane, need: Need) -> bool:
+def has_capacity(view: UpstreamView, request: DispatchRequest) -> bool:
     """Return whether an upstream has a place and memory for one more call."""
-    if lane.trust <= 0 or lane.running >= max(1.0, lane.slots * lane.trust):
+    if view.traffic_share <= 0 or view.running >= max(
+        1.0, view.slots * view.traffic_share
+    ):
         return False
-    if lane.kv_tokens <= 0 or lane.running == 0:
+    if view.kv_capacity <= 0 or view.running == 0:
         return True
-    return lane.tokens + need.tokens <= lane.kv_tokens * KV_PART
+    return view.kv_tokens + request.kv_tokens <= view.kv_capacity * MAX_KV_SHARE
 
 
-def cost(lane: Lane, need: Need, zone: Zone) -> float:
+def weighted_wait(view: UpstreamView, request: DispatchRequest, zone: Zone) -> float:
     """Return the expected wait at an upstream with what else counts against it."""
-    wait = first_token_in(lane, need)
-    wait += lane.running / max(1, lane.slots) * 0.05
-    if need.adapter is not None and not lane.adapter_here:
-        wait += FETCH_COST
-    if lane.zone != zone:
-        wait += ZONE_COST
-    return wait / max(lane.trust, 0.05)
-
-
-def choose(
-    lanes: Iterable[Lane],
-    need: Need,
+    wait = first_token_delay(view, request)
+    wait += view.running / max(1, view.slots) * 0.05
+    if request.adapter is not None and not view.has_adapter:
+        wait += ADAPTER_LOAD_COST_S
+    if view.zone != zone:
+        wait += CROSS_ZONE_COST_S
+    return wait / max(view.traffic_share, 0.05)
+
+
+def choose_upstream(
+    views: Iterable[UpstreamView],
+    request: DispatchRequest,
     zone: Zone,
     draw: Callable[[], float] = random.random,
 ) -> Choice:
     """Return what to do for a call now; ``draw`` returns a number from 0 to 1."""
-    every = list(lanes)
-    if not every:
-        return Choice(Step.NONE)
-    able = [ln for ln in every if need.model is None or ln.model_here]
-    if not able:
+    candidates = list(views)
+    if not candidates:
+        return Choice(Step.NO_UPSTREAM)
+    eligible = [v for v in candidates if request.model is None or v.has_model]
+    if not eligible:
         return Choice(Step.LOAD)
-    able = [ln for ln in able if need.adapter is None or ln.adapter_here or ln.fetches]
-    if not able:
-        return Choice(Step.WAIT_TO_FETCH)
-    open_lanes = [lane for lane in able if has_room(lane, need)]
-    if not open_lanes:
+    eligible = [
+        v
+        for v in eligible
+        if request.adapter is None or v.has_adapter or v.loads_adapters
+    ]
+    if not eligible:
+        return Choice(Step.WAIT_FOR_MODEL)
+    available = [view for view in eligible if has_capacity(view, request)]
+    if not available:
         return Choice(Step.WAIT)
-    best = _spread(open_lanes, need, zone, draw())
-    if need.adapter is not None and not best.adapter_here:
-        return Choice(Step.FETCH, best.upstream)
+    best = _choose_near_best(available, request, zone, draw())
+    if request.adapter is not None and not best.has_adapter:
+        return Choice(Step.LOAD_ADAPTER, best.upstream)
     return Choice(Step.SEND, best.upstream)
 
 
-def _spread(lanes: Sequence[Lane], need: Need, zone: Zone, drawn: float) -> Lane:
+def _choose_near_best(
+    views: Sequence[UpstreamView], request: DispatchRequest, zone: Zone, sample: float
+) -> UpstreamView:
     """Return the best lane, or one as good but for a wait that is in doubt."""
-    costs = [cost(lane, need, zone) for lane in lanes]
-    doubt = max(LEAST_DOUBT, mean(lane.unread / lane.read_rate for lane in lanes))
+    costs = [weighted_wait(view, request, zone) for view in views]
+    error = max(MIN_WAIT_ERROR_S, mean(view.unread / view.read_rate for view in views))
     least = min(costs)
-    best = lanes[costs.index(least)]
+    best = views[costs.index(least)]
     weights = [
-        math.exp((least - seconds) / doubt) if _is_like(lane, best, zone) else 0.0
-        for lane, seconds in zip(lanes, costs, strict=True)
+        math.exp((least - seconds) / error) if _is_equivalent(view, best, zone) else 0.0
+        for view, seconds in zip(views, costs, strict=True)
     ]
-    left = drawn * sum(weights)
-    for lane, weight in zip(lanes, weights, strict=True):
-        left -= weight
-        if left < 0:
-            return lane
+    remaining = sample * sum(weights)
+    for view, weight in zip(views, weights, strict=True):
+        remaining -= weight
+        if remaining < 0:
+            return view
     return best
 
 
-def _is_like(lane: Lane, best: Lane, zone: Zone) -> bool:
+def _is_equivalent(view: UpstreamView, best: UpstreamView, zone: Zone) -> bool:
     """Return whether a lane differs from the best one in nothing but its wait."""
-    near = (lane.zone == zone) == (best.zone == zone)
-    return near and lane.adapter_here == best.adapter_here
+    same_side = (view.zone == zone) == (best.zone == zone)
+    return same_side and view.has_adapter == best.has_adapter
--- a/src/persimmonhitch/decide/drains.py
+++ b/src/persimmonhitch/decide/drain_estimate.py
@@ -9,18 +9,18 @@
 from dataclasses import dataclass
 from typing import Final
 
-FIRST_DRAIN: Final = 2.0
+INITIAL_DRAIN_S: Final = 2.0
 """Seconds that are assumed before one was seen: half of a common stream's time."""
-DRAIN_WEIGHT: Final = 0.3
+NEWEST_DRAIN_WEIGHT: Final = 0.3
 """Weight of the newest unload in the time that is expected."""
 
 
 @dataclass
-class DrainTime:
+class DrainEstimate:
     """Seconds that unloads take which wait for calls."""
 
-    expected: float = FIRST_DRAIN
+    expected_s: float = INITIAL_DRAIN_S
 
-    def saw(self, seconds: float) -> None:
+    def record(self, drain_s: float) -> None:
         """Note an unload that waited for calls."""
-        self.expected += DRAIN_WEIGHT * (seconds - self.expected)
+        self.expected_s += NEWEST_DRAIN_WEIGHT * (drain_s - self.expected_s)
--- a/src/persimmonhitch/decide/trust.py
+++ b/src/persimmonhitch/decide/health.py
@@ -20,85 +20,85 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-OUT_FIRST: Final = 0.3
-OUT_MOST: Final = 2.0
+MIN_EJECT_S: Final = 0.3
+MAX_EJECT_S: Final = 2.0
 """Seconds that an upstream gets no call; a restart takes a few of them, and one that
 is gone for good leaves the list within about four."""
-WINDOW: Final = 10
-FAILURES: Final = 4
+WINDOW_ANSWERS: Final = 10
+EJECT_AFTER_FAILURES: Final = 4
 """Failures among the last calls; an upstream that fails one in ten by chance reaches
 four of ten in one of a hundred windows."""
-RETURN_SECONDS: Final = 2.0
-RETURN_LEAST: Final = 0.01
+RAMP_UP_S: Final = 2.0
+MIN_TRAFFIC_SHARE: Final = 0.01
 """Part of its work that is one call at a time."""
-MOST_FAILING: Final = 0.34
+MAX_EJECTED_SHARE: Final = 0.34
 """Part of a service's upstreams that may be kept from work because their answers fail.
 Where more of them fail the cause is not the upstream, and those that are left could
 not take the calls of all."""
-SILENT: Final = 0.7
+UNRESPONSIVE_AFTER_S: Final = 0.7
 """Seconds; engines send tokens each 10 to 50 ms, plain services answer in as many."""
 
 
 @dataclass
-class Trust:
+class UpstreamHealth:
     """Successes and failures of one upstream; times are monotonic seconds."""
 
-    _recent: list[bool] = field(default_factory=list)
-    _out_until: float = 0.0
-    _out_for: float = 0.0
+    _failures: list[bool] = field(default_factory=list)
+    _ejected_until: float = 0.0
+    _ejection_s: float = 0.0
     reachable: bool = True
     """Whether it took connections when it was last taken out."""
-    _good_from: float | None = None
+    _recovering_since: float | None = None
     """When the first good answer came since it was taken out."""
 
-    def ok(self, now: float) -> None:
+    def succeeded(self, now: float) -> None:
         """Note an answer that is as it should be."""
-        self._note(False)
-        if self._good_from is None:
-            self._good_from = now
-        elif now - self._good_from > RETURN_SECONDS and sum(self._recent) == 0:
-            self._out_for = 0.0
+        self._record(False)
+        if self._recovering_since is None:
+            self._recovering_since = now
+        elif now - self._recovering_since > RAMP_UP_S and sum(self._failures) == 0:
+            self._ejection_s = 0.0
 
     def failed(self, now: float) -> bool:
         """Note an answer that failed; return whether it takes the upstream out."""
-        self._note(True)
-        if sum(self._recent) < FAILURES or now < self._out_until:
+        self._record(True)
+        if sum(self._failures) < EJECT_AFTER_FAILURES or now < self._ejected_until:
             return False
-        self._take_out(now)
+        self._eject(now)
         self.reachable = True
         return True
 
     def unreachable(self, now: float) -> bool:
         """Note a connection that could not be made; return whether this is news."""
-        if now < self._out_until:
+        if now < self._ejected_until:
             return False
-        self._take_out(now)
+        self._eject(now)
         self.reachable = False
         return True
 
-    def _note(self, failure: bool) -> None:
-        self._recent.append(failure)
-        del self._recent[:-WINDOW]
+    def _record(self, failed: bool) -> None:
+        self._failures.append(failed)
+        del self._failures[:-WINDOW_ANSWERS]
 
-    def _take_out(self, now: float) -> None:
-        self._out_for = min(OUT_MOST, max(OUT_FIRST, self._out_for * 2))
-        self._out_until = now + self._out_for
-        self._recent.clear()
-        self._good_from = None
+    def _eject(self, now: float) -> None:
+        self._ejection_s = min(MAX_EJECT_S, max(MIN_EJECT_S, self._ejection_s * 2))
+        self._ejected_until = now + self._ejection_s
+        self._failures.clear()
+        self._recovering_since = None
 
-    def part(self, now: float) -> float:
+    def traffic_share(self, now: float) -> float:
         """Return the part of its usual work that it gets now, from 0 to 1."""
-        if now < self._out_until:
+        if now < self._ejected_until:
             return 0.0
-        if self._out_for == 0.0:
+        if self._ejection_s == 0.0:
             return 1.0
-        if self._good_from is None:
-            return RETURN_LEAST
-        risen = (now - self._good_from) / RETURN_SECONDS
-        return min(1.0, max(RETURN_LEAST, risen))
+        if self._recovering_since is None:
+            return MIN_TRAFFIC_SHARE
+        share = (now - self._recovering_since) / RAMP_UP_S
+        return min(1.0, max(MIN_TRAFFIC_SHARE, share))
 
 
-def parts(trusts: Sequence[Trust], now: float) -> list[float]:
+def traffic_shares(upstreams: Sequence[UpstreamHealth], now: float) -> list[float]:
     """Return the parts of their usual work that the upstreams of a service get.
 
     Parameters
@@ -108,14 +108,14 @@
     now : float
         Monotonic seconds.
     """
-    found = [trust.part(now) for trust in trusts]
-    failing = [t.reachable and p < 1.0 for t, p in zip(trusts, found, strict=True)]
-    if sum(failing) <= len(trusts) * MOST_FAILING:
-        return found
-    return [1.0 if f else p for f, p in zip(failing, found, strict=True)]
+    shares = [health.traffic_share(now) for health in upstreams]
+    failing = [h.reachable and s < 1.0 for h, s in zip(upstreams, shares, strict=True)]
+    if sum(failing) <= len(upstreams) * MAX_EJECTED_SHARE:
+        return shares
+    return [1.0 if f else s for f, s in zip(failing, shares, strict=True)]
 
 
-def is_silent(running: int, heard_at: float, oldest_at: float, now: float) -> bool:
+def is_unresponsive(running: int, output_at: float, idle_at: float, now: float) -> bool:
     """Return whether an upstream has said nothing to the calls that run there.
 
     Parameters
@@ -125,4 +125,4 @@
     heard_at, oldest_at : float
         When it last said anything, and when it was last without a call.
     """
-    return running > 0 and now - max(heard_at, oldest_at) > SILENT
+    return running > 0 and now - max(output_at, idle_at) > UNRESPONSIVE_AFTER_S
--- a/src/persimmonhitch/decide/bursts.py
+++ b/src/persimmonhitch/decide/load_rate.py
@@ -11,24 +11,24 @@
 from dataclasses import dataclass
 from typing import Final
 
-AT_ONCE: Final = 2.0
+MAX_SAVED_LOADS: Final = 2.0
 
 
 @dataclass
-class LoadRate:
+class LoadRateLimiter:
     """Loads saved up; times are monotonic seconds."""
 
     _saved: float = 0.0
-    _at: float | None = None
+    _refilled_at: float | None = None
 
-    def allowed(self, rate: float, now: float) -> bool:
+    def may_start(self, rate: float, now: float) -> bool:
         """Return whether a load may begin now."""
-        last = now if self._at is None else self._at
-        self._saved = min(AT_ONCE, self._saved + max(0.0, now - last) * rate)
-        self._at = now
+        last = now if self._refilled_at is None else self._refilled_at
+        self._saved = min(MAX_SAVED_LOADS, self._saved + max(0.0, now - last) * rate)
+        self._refilled_at = now
         return self._saved >= 1.0 or rate <= 0
 
-    def take(self, rate: float, now: float) -> None:
+    def record_start(self, rate: float, now: float) -> None:
         """Count a load that begins."""
-        self.allowed(rate, now)
+        self.may_start(rate, now)
         self._saved -= 1.0
--- a/src/persimmonhitch/decide/missing.py
+++ b/src/persimmonhitch/decide/missing.py
@@ -14,24 +14,24 @@
 
 from ..ids import Model
 
-ASKED_FOR: Final = 30.0
+DEMAND_TTL_S: Final = 30.0
 """Seconds for which a call shows that a model is asked for."""
 
 
-class Standing(Enum):
+class Availability(Enum):
     """What became of a model that callers ask for."""
 
     MISSING = "missing"
-    HELD = "held"
-    NOT_ASKED = "not_asked"
+    RESIDENT = "held"
+    IDLE = "not_asked"
 
 
 @dataclass(frozen=True)
-class Change:
+class AvailabilityChange:
     """A model that began or ceased to be missing, after ``missing_for`` seconds."""
 
     model: Model
-    now: Standing
+    availability: Availability
     missing_for: float
 
 
@@ -44,21 +44,21 @@
     _since: dict[Model, float] = field(default_factory=dict)
 
     def update(
-        self, asked_at: Mapping[Model, float], held: Collection[Model], now: float
-    ) -> list[Change]:
+        self, demand_at: Mapping[Model, float], resident: Collection[Model], now: float
+    ) -> list[AvailabilityChange]:
         """Take when each model was last asked for, and what engines hold."""
-        asked = {m for m, at in asked_at.items() if now - at <= ASKED_FOR}
+        requested = {m for m, at in demand_at.items() if now - at <= DEMAND_TTL_S}
         changes = []
-        for model in [m for m in self._since if m in held or m not in asked]:
-            standing = Standing.HELD if model in held else Standing.NOT_ASKED
-            passed = now - self._since.pop(model)
-            changes.append(Change(model, standing, passed))
-        for model in sorted(asked - self._since.keys() - set(held)):
+        for model in [m for m in self._since if m in resident or m not in requested]:
+            state = Availability.RESIDENT if model in resident else Availability.IDLE
+            duration = now - self._since.pop(model)
+            changes.append(AvailabilityChange(model, state, duration))
+        for model in sorted(requested - self._since.keys() - set(resident)):
             self._since[model] = now
-            changes.append(Change(model, Standing.MISSING, 0.0))
+            changes.append(AvailabilityChange(model, Availability.MISSING, 0.0))
         return changes
 
-    def missing_for(self, now: float) -> dict[Model, float]:
+    def missing_durations(self, now: float) -> dict[Model, float]:
         """Return the seconds for which each model has been missing."""
         return {model: now - since for model, since in self._since.items()}
 
--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -22,20 +22,20 @@
 
 from ..ids import Vm, Zone
 
-SILENT: Final = 0.7
+UNRESPONSIVE_AFTER_S: Final = 0.7
 """Seconds without a message after which a neighbour is passed over; three missed."""
-NEIGHBOUR_LIFE: Final = 1.5
+NEIGHBOUR_TTL_S: Final = 1.5
 """Seconds for which an entry that has spoken is told in turn."""
-PROBE_EVERY: Final = 0.5
+PROBE_INTERVAL_S: Final = 0.5
 """Seconds between two messages to an entry that is passed over."""
 
 
-class Way(Enum):
+class RelayDirection(Enum):
     """Which way a message goes."""
 
     UP = 0
     """To the parent."""
-    ACROSS = 1
+    BETWEEN_ROOTS = 1
     """Between entries without a parent."""
     DOWN = 2
     """To a child."""
@@ -56,18 +56,18 @@
 
     parent: Vm | None = None
     children: frozenset[Vm] = frozenset()
-    across: frozenset[Vm] = frozenset()
+    roots: frozenset[Vm] = frozenset()
     probes: frozenset[Vm] = frozenset()
     """Entries that would be the parent if they said anything."""
     standby: Vm | None = None
     """The next parent."""
-    leads: bool = False
+    is_first: bool = False
     """Whether no entry that is told across comes before this one."""
 
     def links(self) -> frozenset[Vm]:
         """Return the entries to which this one keeps links of its own."""
-        single = {vm for vm in (self.parent, self.standby) if vm is not None}
-        return self.across | self.probes | single
+        tree_links = {vm for vm in (self.parent, self.standby) if vm is not None}
+        return self.roots | self.probes | tree_links
 
 
 def _rank(member: Member) -> tuple[float, bytes]:
@@ -79,91 +79,91 @@
 class Overlay:
     """One entry's view of whom to tell; times are monotonic seconds."""
 
-    me: Member
+    local: Member
     _zones: dict[Zone, list[Member]] = field(default_factory=dict)
-    _heard: dict[Vm, float] = field(default_factory=dict)
-    _tried: dict[Vm, float] = field(default_factory=dict)
+    _received_at: dict[Vm, float] = field(default_factory=dict)
+    _awaited: dict[Vm, float] = field(default_factory=dict)
     """Since when entries are told that have to answer."""
-    _spoke: dict[Way, dict[Vm, float]] = field(
-        default_factory=lambda: {way: {} for way in Way}
+    _senders: dict[RelayDirection, dict[Vm, float]] = field(
+        default_factory=lambda: {way: {} for way in RelayDirection}
     )
 
     def update(self, members: Iterable[Member]) -> None:
         """Take the list of the other entries."""
         zones: defaultdict[Zone, list[Member]] = defaultdict(list)
-        zones[self.me.zone].append(self.me)
+        zones[self.local.zone].append(self.local)
         for member in members:
             zones[member.zone].append(member)
         self._zones = {zone: sorted(found, key=_rank) for zone, found in zones.items()}
 
-    def heard(self, vm: Vm, way: Way, now: float) -> None:
+    def record_message(self, vm: Vm, direction: RelayDirection, now: float) -> None:
         """Note a message of a neighbour."""
-        self._heard[vm] = now
-        self._spoke[way][vm] = now
+        self._received_at[vm] = now
+        self._senders[direction][vm] = now
 
     def routes(self, now: float) -> Routes:
         """Return whom to tell now."""
-        tried, self._tried = self._tried, {}
-        mine = self._zones.get(self.me.zone, [self.me])
-        before = [m.vm for m in mine[: mine.index(self.me)]]
+        awaited, self._awaited = self._awaited, {}
+        zone_members = self._zones.get(self.local.zone, [self.local])
+        preceding = [m.vm for m in zone_members[: zone_members.index(self.local)]]
         probes: list[Vm] = []
         parent = None
-        for vm in before:
-            if not self._silent(vm, tried, now):
+        for vm in preceding:
+            if not self._is_unresponsive(vm, awaited, now):
                 parent = vm
                 break
             probes.append(vm)
-        across = self._across(parent is None, tried, now)
+        roots = self._other_roots(parent is None, awaited, now)
         return Routes(
             parent,
-            self._recent(Way.UP, now),
-            across,
+            self._recent_senders(RelayDirection.UP, now),
+            roots,
             frozenset(probes),
-            self._standby(mine, parent),
-            parent is None and all(self._follows(vm, now) for vm in across),
+            self._standby(zone_members, parent),
+            parent is None and all(self._ranks_after(vm, now) for vm in roots),
         )
 
-    def place(self) -> int:
+    def rank(self) -> int:
         """Return how many entries come before this one in the whole fleet."""
         members = [member for found in self._zones.values() for member in found]
-        return sum(_rank(member) < _rank(self.me) for member in members)
+        return sum(_rank(member) < _rank(self.local) for member in members)
 
-    def _follows(self, vm: Vm, now: float) -> bool:
+    def _ranks_after(self, vm: Vm, now: float) -> bool:
         """Return whether a neighbour comes after this entry, or is silent."""
-        if now - self._heard.get(vm, -math.inf) > SILENT:
+        if now - self._received_at.get(vm, -math.inf) > UNRESPONSIVE_AFTER_S:
             return True
         members = [member for found in self._zones.values() for member in found]
-        first = [m for m in members if m.vm == vm and _rank(m) < _rank(self.me)]
-        return not first
+        preceding = [m for m in members if m.vm == vm and _rank(m) < _rank(self.local)]
+        return not preceding
 
-    def _silent(self, vm: Vm, tried: dict[Vm, float], now: float) -> bool:
-        since = self._tried[vm] = tried.get(vm, now)
-        return now - max(self._heard.get(vm, since), since) > SILENT
+    def _is_unresponsive(self, vm: Vm, awaited: dict[Vm, float], now: float) -> bool:
+        since = self._awaited[vm] = awaited.get(vm, now)
+        return now - max(self._received_at.get(vm, since), since) > UNRESPONSIVE_AFTER_S
 
-    def _recent(self, way: Way, now: float) -> frozenset[Vm]:
-        spoke = self._spoke[way]
-        return frozenset(vm for vm, at in spoke.items() if now - at <= NEIGHBOUR_LIFE)
+    def _recent_senders(self, direction: RelayDirection, now: float) -> frozenset[Vm]:
+        seen = self._senders[direction]
+        return frozenset(vm for vm, at in seen.items() if now - at <= NEIGHBOUR_TTL_S)
 
-    def _across(
-        self, is_root: bool, tried: dict[Vm, float], now: float
+    def _other_roots(
+        self, is_root: bool, awaited: dict[Vm, float], now: float
     ) -> frozenset[Vm]:
-        found = set(self._recent(Way.ACROSS, now))
+        roots = set(self._recent_senders(RelayDirection.BETWEEN_ROOTS, now))
         if is_root:
             for zone, members in self._zones.items():
-                if zone != self.me.zone:
-                    found.add(self._first(members, tried, now))
-        return frozenset(found)
+                if zone != self.local.zone:
+                    roots.add(self._root(members, awaited, now))
+        return frozenset(roots)
 
-    def _first(self, members: list[Member], tried: dict[Vm, float], now: float) -> Vm:
+    def _root(self, members: list[Member], awaited: dict[Vm, float], now: float) -> Vm:
         for member in members:
-            if not self._silent(member.vm, tried, now):
+            if not self._is_unresponsive(member.vm, awaited, now):
                 return member.vm
         # A whole zone is out of reach; any of it may come back first.
-        return members[int(now / SILENT) % len(members)].vm
+        return members[int(now / UNRESPONSIVE_AFTER_S) % len(members)].vm
 
-    def _standby(self, mine: list[Member], parent: Vm | None) -> Vm | None:
+    def _standby(self, zone_members: list[Member], parent: Vm | None) -> Vm | None:
         if parent is None:
             return None
-        names = [member.vm for member in mine]
-        after = names[names.index(parent) + 1 :]
-        return after[0] if after and after[0] != self.me.vm else None
+        names = [member.vm for member in zone_members]
+        following = names[names.index(parent) + 1 :]
+        return following[0] if following and following[0] != self.local.vm else None
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -22,10 +22,10 @@
 from .placement import Move
 
 BURST_S: Final = 2.0
-RETRY_LEAST: Final = 2.0
-RETRY_MOST: Final = 60.0
+MIN_RETRY_DELAY_S: Final = 2.0
+MAX_RETRY_DELAY_S: Final = 60.0
 
-Place = tuple[Model, Upstream]
+LoadTarget = tuple[Model, Upstream]
 
 
 @dataclass
@@ -43,60 +43,60 @@
     """
 
     rate: float
-    at_once: int
-    adapters_at_once: int
-    period: float = 0.0
+    max_models_loading: int
+    max_adapters_loading: int
+    round_interval_s: float = 0.0
     """Seconds between two rounds; the starts of one round are kept up to it."""
     _starts: float = 1.0
-    _last: float | None = None
+    _last_at: float | None = None
 
     def admit(
         self,
         moves: Iterable[Move],
         adapters: frozenset[Model],
-        models_under_way: int,
-        adapters_under_way: int,
+        models_loading: int,
+        adapters_loading: int,
         now: float,
     ) -> Iterator[Move]:
         """Yield the moves that may start now, in their order; unloads all may."""
         self._refill(now)
-        room = {
-            True: self.adapters_at_once - adapters_under_way,
-            False: self.at_once - models_under_way,
+        free_slots = {
+            True: self.max_adapters_loading - adapters_loading,
+            False: self.max_models_loading - models_loading,
         }
         for move in moves:
             if not move.is_load:
                 yield move
                 continue
-            kind = move.model in adapters
-            if room[kind] > 0 and self._starts >= 1.0:
-                room[kind] -= 1
+            is_adapter = move.model in adapters
+            if free_slots[is_adapter] > 0 and self._starts >= 1.0:
+                free_slots[is_adapter] -= 1
                 self._starts -= 1.0
                 yield move
 
     def _refill(self, now: float) -> None:
-        elapsed = 0.0 if self._last is None else max(0.0, now - self._last)
-        most = max(1.0, self.rate * max(BURST_S, self.period))
-        self._starts = min(most, self._starts + elapsed * self.rate)
-        self._last = now
+        elapsed = 0.0 if self._last_at is None else max(0.0, now - self._last_at)
+        max_starts = max(1.0, self.rate * max(BURST_S, self.round_interval_s))
+        self._starts = min(max_starts, self._starts + elapsed * self.rate)
+        self._last_at = now
 
 
 @dataclass
-class RetryDelay:
+class RetryBackoff:
     """Keeps a failed load from being ordered again too soon."""
 
-    _failures: dict[Place, tuple[int, float]] = field(default_factory=dict)
+    _failures: dict[LoadTarget, tuple[int, float]] = field(default_factory=dict)
 
-    def failed(self, place: Place, now: float) -> None:
+    def failed(self, target: LoadTarget, now: float) -> None:
         """Note a failure."""
-        count = self._failures.get(place, (0, 0.0))[0] + 1
-        delay = min(RETRY_MOST, RETRY_LEAST * 2.0 ** (count - 1))
-        self._failures[place] = (count, now + delay)
+        count = self._failures.get(target, (0, 0.0))[0] + 1
+        delay = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2.0 ** (count - 1))
+        self._failures[target] = (count, now + delay)
 
-    def succeeded(self, place: Place) -> None:
+    def succeeded(self, target: LoadTarget) -> None:
         """Forget earlier failures."""
-        self._failures.pop(place, None)
+        self._failures.pop(target, None)
 
-    def blocked(self, now: float) -> set[Place]:
+    def blocked_targets(self, now: float) -> set[LoadTarget]:
         """Return the places to leave alone for now."""
-        return {place for place, (_, until) in self._failures.items() if until > now}
+        return {target for target, (_, until) in self._failures.items() if until > now}
--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -27,56 +27,56 @@
 SUSPECT_CRASHES: Final = 2
 """Crashes from which on a call runs apart. After one, most have only lost an answer and
 are sent again at once."""
-CRASHES: Final = 3
+BLOCK_CRASHES: Final = 3
 """Crashes of upstreams after which a call is blocked."""
-TIED_CRASHES: Final = 6
+MAX_TIED: Final = 6
 """Crashes after which calls are blocked that were lost together each time."""
-SETTLED: Final = 0.6
+SETTLE_S: Final = 0.6
 """Seconds after a crash by which all entries have told what they lost there; before
 that a call may seem to have been there alone."""
-FRESH: Final = 1.0
+RECENT_START_S: Final = 1.0
 """Seconds after the begin of its answer within which a call counts as just begun."""
-BLOCKED_LIFE: Final = 3600.0
+BLOCK_TTL_S: Final = 3600.0
 """Seconds; after that a new version of an upstream may run the call."""
-CLAIM_LIFE: Final = 5.0
+UNCONFIRMED_TTL_S: Final = 5.0
 """Seconds for which a crash is believed that nobody has confirmed."""
-CRASH_LIFE: Final = 3600.0
-EVIDENCE_LIFE: Final = 60.0
+CRASH_TTL_S: Final = 3600.0
+EVIDENCE_TTL_S: Final = 60.0
 """Seconds for which a sign of innocence stands against reports that come late."""
-MOST_CRASHES: Final = 64
-MOST_LOST: Final = 256
+MAX_CRASHES: Final = 64
+MAX_LOST: Final = 256
 """Calls kept of one crash; an engine runs fewer."""
-MOST_EVIDENCE: Final = 1024
-MOST_BLOCKED: Final = 1024
+MAX_EVIDENCE: Final = 1024
+MAX_BLOCKED: Final = 1024
 
 
 @dataclass(frozen=True)
-class UpstreamStart:
+class UpstreamInstance:
     """One life of an upstream; it may start anew under its name."""
 
     name: Upstream
-    born: int
+    started_at_ms: int
 
 
 @dataclass(frozen=True)
-class Blame:
+class CrashCounts:
     """Crashes that a call is accused of."""
 
-    claimed: int = 0
+    reported: int = 0
     """All of them, confirmed or not, explained or not."""
     confirmed: int = 0
-    own: int = 0
+    unexplained: int = 0
     """Confirmed ones that no blocked call explains."""
     weight: float = 0.0
     """Those, each divided by the calls that it accuses."""
-    newest_at: float = -math.inf
+    latest_at: float = -math.inf
     """When the newest of them happened, or was first heard of if that is later."""
 
 
 @dataclass
 class _Crash:
     at: float
-    heard_at: float
+    received_at: float
     """When this entry first heard of it."""
     confirmed: bool = False
     lost: dict[Fingerprint, bool] = field(default_factory=dict)
@@ -87,164 +87,166 @@
     """Crashes and the calls that were lost with them; times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self._crashes: OrderedDict[UpstreamStart, _Crash] = OrderedDict()
+        self._crashes: OrderedDict[UpstreamInstance, _Crash] = OrderedDict()
         self._completed: OrderedDict[Fingerprint, float] = OrderedDict()
-        self._alive: OrderedDict[UpstreamStart, float] = OrderedDict()
+        self._alive: OrderedDict[UpstreamInstance, float] = OrderedDict()
         self._blocked: dict[Fingerprint, float] = {}
-        self._blame: dict[Fingerprint, Blame] | None = {}
+        self._cached_counts: dict[Fingerprint, CrashCounts] | None = {}
 
     # -- evidence ----------------------------------------------------------------
 
-    def lost(
+    def record_lost(
         self,
-        start: UpstreamStart,
-        calls: Mapping[Fingerprint, bool],
+        instance: UpstreamInstance,
+        lost: Mapping[Fingerprint, bool],
         at: float,
         now: float,
     ) -> None:
         """Take calls that were lost with an upstream, maybe since it crashed."""
-        if self._alive.get(start, -math.inf) >= at:
+        if self._alive.get(instance, -math.inf) >= at:
             return
-        crash = self._crashes.setdefault(start, _Crash(at, now))
+        crash = self._crashes.setdefault(instance, _Crash(at, now))
         crash.at = max(crash.at, at)
-        for call, fresh in calls.items():
-            cleared = self._completed.get(call, -math.inf) >= at
-            if not cleared and (call in crash.lost or len(crash.lost) < MOST_LOST):
-                crash.lost[call] = fresh or crash.lost.get(call, False)
-        if len(self._crashes) > MOST_CRASHES:
+        for fingerprint, is_new in lost.items():
+            ended = self._completed.get(fingerprint, -math.inf) >= at
+            if not ended and (fingerprint in crash.lost or len(crash.lost) < MAX_LOST):
+                crash.lost[fingerprint] = is_new or crash.lost.get(fingerprint, False)
+        if len(self._crashes) > MAX_CRASHES:
             self._crashes.popitem(last=False)
-        self._blame = None
+        self._cached_counts = None
 
-    def confirm(self, start: UpstreamStart) -> bool:
+    def confirm(self, instance: UpstreamInstance) -> bool:
         """Note that an upstream has ended; return whether that is new."""
-        crash = self._crashes.get(start)
+        crash = self._crashes.get(instance)
         if crash is None or crash.confirmed:
             return False
         crash.confirmed = True
-        self._blame = None
+        self._cached_counts = None
         return True
 
-    def alive(self, start: UpstreamStart, at: float) -> bool:
+    def record_alive(self, instance: UpstreamInstance, at: float) -> bool:
         """Note that an upstream lived; return whether that refutes a crash."""
-        crash = self._crashes.get(start)
-        _keep(self._alive, start, at)
+        crash = self._crashes.get(instance)
+        _record_latest(self._alive, instance, at)
         if crash is None or crash.at > at:
             return False
-        del self._crashes[start]
-        self._blame = None
+        del self._crashes[instance]
+        self._cached_counts = None
         return True
 
-    def completed(self, call: Fingerprint, at: float) -> bool:
+    def record_completed(self, fingerprint: Fingerprint, at: float) -> bool:
         """Note that a call came to its end; return whether that clears it."""
-        _keep(self._completed, call, at)
+        _record_latest(self._completed, fingerprint, at)
         cleared = False
         for crash in self._crashes.values():
-            if crash.at <= at and crash.lost.pop(call, None) is not None:
+            if crash.at <= at and crash.lost.pop(fingerprint, None) is not None:
                 cleared = True
         if cleared:
-            self._blame = None
+            self._cached_counts = None
         return cleared
 
-    def block(self, call: Fingerprint, until: float) -> bool:
+    def block(self, fingerprint: Fingerprint, until: float) -> bool:
         """Block a call; return whether it was not blocked before."""
-        new = call not in self._blocked
-        self._blocked[call] = max(until, self._blocked.get(call, -math.inf))
-        if len(self._blocked) > MOST_BLOCKED:
+        is_new = fingerprint not in self._blocked
+        self._blocked[fingerprint] = max(
+            until, self._blocked.get(fingerprint, -math.inf)
+        )
+        if len(self._blocked) > MAX_BLOCKED:
             del self._blocked[min(self._blocked, key=self._blocked.__getitem__)]
-        self._blame = None
-        return new
+        self._cached_counts = None
+        return is_new
 
     # -- judgement ---------------------------------------------------------------
 
-    def judge(self, now: float) -> list[Fingerprint]:
+    def block_attributed(self, now: float) -> list[Fingerprint]:
         """Block what is to blame by now; return those calls."""
-        found = []
-        while (call := self._guilty(now)) is not None:
-            self.block(call, now + BLOCKED_LIFE)
-            found.append(call)
-        return found
+        blocked = []
+        while (fingerprint := self._next_attributed(now)) is not None:
+            self.block(fingerprint, now + BLOCK_TTL_S)
+            blocked.append(fingerprint)
+        return blocked
 
-    def _guilty(self, now: float) -> Fingerprint | None:
+    def _next_attributed(self, now: float) -> Fingerprint | None:
         candidates = [
-            (-blame.weight, call, blame)
-            for call, blame in self._blames().items()
-            if blame.own >= CRASHES and call not in self._blocked
+            (-counts.weight, fingerprint, counts)
+            for fingerprint, counts in self._counts().items()
+            if counts.unexplained >= BLOCK_CRASHES and fingerprint not in self._blocked
         ]
         # The clearest first: what it explains may be all there is against others.
-        for _, call, blame in sorted(candidates, key=lambda c: c[:2]):
-            if now - blame.newest_at < SETTLED:
+        for _, fingerprint, counts in sorted(candidates, key=lambda c: c[:2]):
+            if now - counts.latest_at < SETTLE_S:
                 return None
-            if blame.own >= TIED_CRASHES or not self._rivals(call, blame):
-                return call
+            if counts.unexplained >= MAX_TIED or not self._is_tied(fingerprint, counts):
+                return fingerprint
         return None
 
-    def _rivals(self, call: Fingerprint, blame: Blame) -> bool:
+    def _is_tied(self, fingerprint: Fingerprint, counts: CrashCounts) -> bool:
         """Return whether another call is as suspect at the newest crash of this one."""
-        own = (
-            self._accused(crash)
+        suspects = (
+            self._suspected(crash)
             for crash in self._newest_first()
-            if crash.confirmed and not self._explained(crash)
+            if crash.confirmed and not self._is_explained(crash)
         )
-        others = next(calls for calls in own if call in calls) - {call}
-        blames = self._blames()
-        return any(blames[other].own >= blame.own for other in others)
+        others = next(tied for tied in suspects if fingerprint in tied) - {fingerprint}
+        table = self._counts()
+        return any(table[other].unexplained >= counts.unexplained for other in others)
 
     def _newest_first(self) -> list[_Crash]:
         return sorted(self._crashes.values(), key=lambda crash: -crash.at)
 
-    def _blames(self) -> dict[Fingerprint, Blame]:
-        if self._blame is None:
-            self._blame = {}
+    def _counts(self) -> dict[Fingerprint, CrashCounts]:
+        if self._cached_counts is None:
+            self._cached_counts = {}
             for crash in self._crashes.values():
-                own = crash.confirmed and not self._explained(crash)
-                accused = self._accused(crash)
-                for call in accused:
-                    old = self._blame.get(call, Blame())
-                    self._blame[call] = Blame(
-                        old.claimed + 1,
-                        old.confirmed + crash.confirmed,
-                        old.own + own,
-                        old.weight + own / len(accused),
-                        max(old.newest_at, crash.at, crash.heard_at),
+                is_unexplained = crash.confirmed and not self._is_explained(crash)
+                suspected = self._suspected(crash)
+                for fingerprint in suspected:
+                    previous = self._cached_counts.get(fingerprint, CrashCounts())
+                    self._cached_counts[fingerprint] = CrashCounts(
+                        previous.reported + 1,
+                        previous.confirmed + crash.confirmed,
+                        previous.unexplained + is_unexplained,
+                        previous.weight + is_unexplained / len(suspected),
+                        max(previous.latest_at, crash.at, crash.received_at),
                     )
-        return self._blame
+        return self._cached_counts
 
-    def _accused(self, crash: _Crash) -> set[Fingerprint]:
-        fresh = {call for call, is_fresh in crash.lost.items() if is_fresh}
-        return fresh or set(crash.lost)
+    def _suspected(self, crash: _Crash) -> set[Fingerprint]:
+        recent = {fingerprint for fingerprint, is_new in crash.lost.items() if is_new}
+        return recent or set(crash.lost)
 
-    def _explained(self, crash: _Crash) -> bool:
-        return any(call in self._blocked for call in self._accused(crash))
+    def _is_explained(self, crash: _Crash) -> bool:
+        return any(suspect in self._blocked for suspect in self._suspected(crash))
 
     # -- what is known -----------------------------------------------------------
 
-    def blame(self, call: Fingerprint) -> Blame | None:
+    def crash_counts(self, fingerprint: Fingerprint) -> CrashCounts | None:
         """Return what a call is accused of."""
-        return self._blames().get(call)
+        return self._counts().get(fingerprint)
 
-    def waits_for_proof(self, call: Fingerprint, now: float) -> bool:
+    def awaits_confirmation(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether a call may be blocked once all is known of its crashes."""
-        blame = self.blame(call)
-        if blame is None or blame.claimed < CRASHES:
+        counts = self.crash_counts(fingerprint)
+        if counts is None or counts.reported < BLOCK_CRASHES:
             return False
-        return blame.confirmed < blame.claimed or now - blame.newest_at < SETTLED
+        return counts.confirmed < counts.reported or now - counts.latest_at < SETTLE_S
 
-    def is_suspect(self, call: Fingerprint) -> bool:
+    def is_suspect(self, fingerprint: Fingerprint) -> bool:
         """Return whether a call has to run apart."""
-        blame = self.blame(call)
-        return blame is not None and blame.claimed >= SUSPECT_CRASHES
+        counts = self.crash_counts(fingerprint)
+        return counts is not None and counts.reported >= SUSPECT_CRASHES
 
     def suspects(self) -> Iterable[Fingerprint]:
         """Return all calls that have to run apart."""
-        return filter(self.is_suspect, self._blames())
+        return filter(self.is_suspect, self._counts())
 
-    def crashed(self, start: UpstreamStart) -> bool:
+    def has_crashed(self, instance: UpstreamInstance) -> bool:
         """Return whether an upstream is taken to have ended."""
-        return start in self._crashes
+        return instance in self._crashes
 
-    def blocked_for(self, call: Fingerprint, now: float) -> float | None:
+    def blocked_for(self, fingerprint: Fingerprint, now: float) -> float | None:
         """Return the seconds for which a call stays blocked, None if it is not."""
-        until = self._blocked.get(call)
+        until = self._blocked.get(fingerprint)
         return None if until is None or until <= now else until - now
 
     def blocked(self) -> Mapping[Fingerprint, float]:
@@ -254,24 +256,24 @@
     def expire(self, now: float) -> None:
         """Forget what is old."""
         self._crashes = OrderedDict(
-            (start, crash)
-            for start, crash in self._crashes.items()
-            if now - crash.at <= (CRASH_LIFE if crash.confirmed else CLAIM_LIFE)
+            (instance, crash)
+            for instance, crash in self._crashes.items()
+            if now - crash.at <= (CRASH_TTL_S if crash.confirmed else UNCONFIRMED_TTL_S)
         )
-        self._blocked = {c: u for c, u in self._blocked.items() if u > now}
-        self._completed = _recent(self._completed, now)
-        self._alive = _recent(self._alive, now)
-        self._blame = None
+        self._blocked = {key: end for key, end in self._blocked.items() if end > now}
+        self._completed = _unexpired(self._completed, now)
+        self._alive = _unexpired(self._alive, now)
+        self._cached_counts = None
 
 
-def _keep(evidence: OrderedDict[K, float], key: K, at: float) -> None:
+def _record_latest(evidence: OrderedDict[K, float], key: K, at: float) -> None:
     evidence[key] = max(at, evidence.get(key, -math.inf))
     evidence.move_to_end(key)
-    if len(evidence) > MOST_EVIDENCE:
+    if len(evidence) > MAX_EVIDENCE:
         evidence.popitem(last=False)
 
 
-def _recent(evidence: OrderedDict[K, float], now: float) -> OrderedDict[K, float]:
+def _unexpired(evidence: OrderedDict[K, float], now: float) -> OrderedDict[K, float]:
     return OrderedDict(
-        (key, at) for key, at in evidence.items() if now - at <= EVIDENCE_LIFE
+        (key, at) for key, at in evidence.items() if now - at <= EVIDENCE_TTL_S
     )
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -26,37 +26,37 @@
 from ..fleet.config import ModelSpec
 from ..ids import Model, Upstream
 
-LAST_COPY: Final = 3.0
+LAST_COPY_WEIGHT: Final = 3.0
 """Times the demand that the last copy of a model is worth."""
-GAIN: Final = 1.5
+MIN_RELIEF_RATIO: Final = 1.5
 """Times by which the relief of a further copy must exceed what it displaces."""
-LOAD_FLOOR: Final = 0.016
+MIN_RELIEF_PER_S: Final = 0.016
 """Relief that a second of loading must bring for a further copy."""
-URGENT: Final = 0.25
+MIN_URGENT: Final = 0.25
 """Relief from which a load may begin on any engine: the last copy of a model that gets
 a call a second. Others leave two thirds of the engines free of loads, since a load for
 a rare model would else keep a busy one waiting that is asked for a moment later."""
-RARE_PART: Final = 3
+ENGINES_PER_RARE_LOAD: Final = 3
 """One in so many engines may load at a time what is not urgent."""
-DISTURB: Final = 0.05
+DISRUPTION_PER_S: Final = 0.05
 """Part of the demand for models with adapters that a second of loading disturbs: an
 engine takes no order for an adapter while it loads a model."""
-IDLE_VALUE: Final = 0.004
+IDLE_COPY_VALUE: Final = 0.004
 """Part of an engine that a last copy is worth once its demand has ended. It is little,
 since an engine that had a model before has it back from its disk within two seconds."""
-FRESH_VALUE: Final = 0.08
+NEW_COPY_VALUE: Final = 0.08
 """Part of an engine that a last copy is worth which nobody has asked for yet: one call
 a second. Demand moves on to such models; those it has left come back later."""
-COMFORT: Final = 0.5
+COPY_CAPACITY: Final = 0.5
 """Part of what an engine reads that one copy serves without a wait."""
-SPREAD_VALUE: Final = 0.3
+EXTRA_COPY_WEIGHT: Final = 0.3
 """Part of a copy's demand that a copy beyond need is worth."""
-OVERDUE: Final = 6.0
+OVERDUE_AFTER_S: Final = 6.0
 """Seconds after which a model is loaded that is asked for and that nobody holds,
 whatever it displaces: two thirds of a load from the weight store. By its worth alone a
 model with a call each second or two never gets a place while others are asked for more
 than the engines can give, and all of its callers are refused for as long."""
-SETTLED: Final = 3.0
+SETTLE_S: Final = 3.0
 """Seconds that a model stays after its load, twice the time of a load from disk."""
 
 
@@ -65,21 +65,21 @@
     """One engine; memory in MB. It can take an order in ``busy_for`` seconds."""
 
     upstream: Upstream
-    memory: float
-    adapters_memory: float
+    memory_mb: float
+    adapters_memory_mb: float
     models: frozenset[Model]
-    busy_for: float = 0.0
-    coming: frozenset[Model] = frozenset()
-    late: bool = False
+    busy_s: float = 0.0
+    loading: frozenset[Model] = frozenset()
+    load_overdue: bool = False
     """Whether what it loads should have been there by now."""
-    leaving: frozenset[Model] = frozenset()
+    evicting: frozenset[Model] = frozenset()
     in_memory: frozenset[Model] = frozenset()
     on_disk: frozenset[Model] = frozenset()
     settling: frozenset[Model] = frozenset()
     """Models that were loaded less than ``SETTLED`` ago."""
-    running: frozenset[Model] = frozenset()
+    in_use: frozenset[Model] = frozenset()
     """Models that calls use; their unload waits for these, for ``drain`` seconds."""
-    drain: float = 0.0
+    drain_s: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -88,21 +88,21 @@
 
     model: Model
     upstream: Upstream
-    victims: tuple[Model, ...]
+    evicted: tuple[Model, ...]
     cold: bool
     """Whether the weights come from the weight store, whose rate is limited."""
-    seconds: float
-    drain: float = 0.0
+    load_s: float
+    drain_s: float = 0.0
     """Seconds before the load in which victims wait for their calls to end."""
 
     @property
-    def takes(self) -> float:
+    def total_s(self) -> float:
         """Return the seconds until the model serves."""
-        return self.drain + self.seconds
+        return self.drain_s + self.load_s
 
 
 @dataclass
-class _Board:
+class _PlacementState:
     specs: Mapping[Model, ModelSpec]
     demand: Mapping[Model, float]
     engines: list[EngineView]
@@ -110,37 +110,37 @@
 
     def __post_init__(self) -> None:
         for engine in self.engines:
-            for model in (engine.models | engine.coming) - engine.leaving:
+            for model in (engine.models | engine.loading) - engine.evicting:
                 self.copies[model] = self.copies.get(model, 0) + 1
 
-    def loading(self) -> int:
+    def load_count(self) -> int:
         """Return the engines that load a model now."""
-        return sum(bool(engine.coming) for engine in self.engines)
+        return sum(bool(engine.loading) for engine in self.engines)
 
-    def rare_most(self) -> int:
+    def max_rare_loads(self) -> int:
         """Return the engines that may load at a time what is not urgent."""
-        return max(1, len(self.engines) // RARE_PART)
+        return max(1, len(self.engines) // ENGINES_PER_RARE_LOAD)
 
     def relief(self, model: Model) -> float:
         """Return what one more copy of a model is worth."""
         count, demand = self.copies.get(model, 0), self.demand.get(model, 0.0)
         if count == 0:
-            return demand * LAST_COPY
-        return _waiting(demand, count) - _waiting(demand, count + 1)
+            return demand * LAST_COPY_WEIGHT
+        return _queued_demand(demand, count) - _queued_demand(demand, count + 1)
 
-    def value(self, model: Model) -> float:
+    def copy_value(self, model: Model) -> float:
         """Return what one copy of a model is worth."""
         count, demand = self.copies.get(model, 0), self.demand.get(model, 0.0)
         if count <= 1:
-            idle = IDLE_VALUE if model in self.demand else FRESH_VALUE
-            return max(idle, demand * LAST_COPY)
-        more = _waiting(demand, count - 1) - _waiting(demand, count)
-        return more + SPREAD_VALUE * demand / count
+            floor = IDLE_COPY_VALUE if model in self.demand else NEW_COPY_VALUE
+            return max(floor, demand * LAST_COPY_WEIGHT)
+        relief = _queued_demand(demand, count - 1) - _queued_demand(demand, count)
+        return relief + EXTRA_COPY_WEIGHT * demand / count
 
 
-def _waiting(demand: float, copies: int) -> float:
+def _queued_demand(demand: float, copies: int) -> float:
     """Return the demand that waits with a number of copies."""
-    return max(0.0, demand - copies * COMFORT)
+    return max(0.0, demand - copies * COPY_CAPACITY)
 
 
 def next_move(
@@ -150,11 +150,11 @@
     cold_allowed: bool,
 ) -> Move | None:
     """Return the load that helps most now, or None if none is worth its cost."""
-    board = _Board(specs, demand, list(engines))
-    wanted = [m for m in demand if m in specs and board.relief(m) > 0]
-    found = [_best(board, model, cold_allowed) for model in wanted]
-    gains = [gain for gain in found if gain is not None]
-    return max(gains, key=lambda gain: gain.gain).move if gains else None
+    state = _PlacementState(specs, demand, list(engines))
+    requested = [m for m in demand if m in specs and state.relief(m) > 0]
+    best_moves = [_best(state, model, cold_allowed) for model in requested]
+    worthwhile = [gain for gain in best_moves if gain is not None]
+    return max(worthwhile, key=lambda gain: gain.gain).move if worthwhile else None
 
 
 def next_overdue(
@@ -176,24 +176,24 @@
     engines load, more of them would keep models waiting that are asked for far more. A
     load that is late, such as one whose order was lost, holds back no other.
     """
-    board = _Board(specs, demand, list(engines))
-    under_way = [e for e in board.engines if not e.late and e.coming & set(loading)]
-    if under_way and board.loading() >= board.rare_most():
+    state = _PlacementState(specs, demand, list(engines))
+    busy = [e for e in state.engines if not e.load_overdue and e.loading & set(loading)]
+    if busy and state.load_count() >= state.max_rare_loads():
         return None
-    overdue = [m for m, passed in missing_for.items() if passed >= OVERDUE]
+    overdue = [m for m, duration in missing_for.items() if duration >= OVERDUE_AFTER_S]
     for model in sorted(overdue, key=lambda m: -missing_for[m]):
-        if model not in specs or board.copies.get(model):
+        if model not in specs or state.copies.get(model):
             continue
-        free = [engine for engine in board.engines if engine.busy_for <= 0]
-        found = [_move(board, engine, model) for engine in free]
-        moves = [mv for mv in found if mv and (cold_allowed or not mv.cold)]
+        free = [engine for engine in state.engines if engine.busy_s <= 0]
+        found = [_plan(state, engine, model) for engine in free]
+        moves = [move for move in found if move and (cold_allowed or not move.cold)]
         if moves:
-            return min(moves, key=lambda mv: (mv.cold, _displaced(board, mv)))
+            return min(moves, key=lambda move: (move.cold, _evicted_value(state, move)))
     return None
 
 
-def _displaced(board: _Board, move: Move) -> float:
-    return sum(board.value(victim) for victim in move.victims)
+def _evicted_value(state: _PlacementState, move: Move) -> float:
+    return sum(state.copy_value(model) for model in move.evicted)
 
 
 @dataclass(frozen=True)
@@ -202,41 +202,41 @@
     move: Move
 
 
-def _best(board: _Board, model: Model, cold_allowed: bool) -> _Gain | None:
+def _best(state: _PlacementState, model: Model, cold_allowed: bool) -> _Gain | None:
     """Return the best load of one model, if any is worth its cost."""
     best: _Gain | None = None
-    relief = board.relief(model)
-    if relief < URGENT and board.loading() >= board.rare_most():
+    relief = state.relief(model)
+    if relief < MIN_URGENT and state.load_count() >= state.max_rare_loads():
         return None
-    near = _near_in(board, model)
-    for engine in board.engines:
-        if engine.busy_for > 0 or model in engine.models | engine.coming:
+    delay = _cached_load_delay(state, model)
+    for engine in state.engines:
+        if engine.busy_s > 0 or model in engine.models | engine.loading:
             continue
-        move = _move(board, engine, model)
+        move = _plan(state, engine, model)
         if move is None or (move.cold and not cold_allowed):
             continue
-        far = near == math.inf
-        if move.cold and (near < move.seconds or (relief < URGENT and not far)):
+        remote = delay == math.inf
+        if move.cold and (delay < move.load_s or (relief < MIN_URGENT and not remote)):
             # A load from the weight store keeps an engine from taking other orders
             # for several times as long; a place near the weights comes free sooner.
             continue
-        displaced = _displaced(board, move)
-        floor = LOAD_FLOOR * move.takes if board.copies.get(model) else 0.0
-        gain = relief - GAIN * displaced - floor
-        gain -= DISTURB * move.takes * _disturbed(board, engine, move)
+        evicted_value = _evicted_value(state, move)
+        floor = MIN_RELIEF_PER_S * move.total_s if state.copies.get(model) else 0.0
+        gain = relief - MIN_RELIEF_RATIO * evicted_value - floor
+        gain -= DISRUPTION_PER_S * move.total_s * _disrupted_demand(state, engine, move)
         # The sooner of two equal places: callers wait for its load.
-        gain /= 1.0 + move.takes
+        gain /= 1.0 + move.total_s
         if gain > 0 and (best is None or gain > best.gain):
             best = _Gain(gain, move)
     return best
 
 
-def _near_in(board: _Board, model: Model) -> float:
+def _cached_load_delay(state: _PlacementState, model: Model) -> float:
     """Return the seconds until a copy can be loaded from near, or infinity."""
-    spec = board.specs[model]
+    spec = state.specs[model]
     times = [
-        engine.busy_for + spec.load_disk
-        for engine in board.engines
+        engine.busy_s + spec.load_disk
+        for engine in state.engines
         if model in engine.in_memory | engine.on_disk and model not in engine.models
     ]
     return min(times, default=math.inf)
@@ -245,7 +245,7 @@
 def next_staging(
     specs: Mapping[Model, ModelSpec],
     demand: Mapping[Model, float],
-    able: Iterable[EngineView],
+    usable: Iterable[EngineView],
     engines: Iterable[EngineView],
     missing: Iterable[Model] = (),
 ) -> Move | None:
@@ -257,91 +257,91 @@
     Its first callers would else wait for a load from the weight store, which takes
     several times as long as one from a disk, and longer than many of them have.
     """
-    board = _Board(specs, demand, list(engines))
-    asked = [m for m in missing if m in specs and not board.copies.get(m)]
-    far = asked or [
+    state = _PlacementState(specs, demand, list(engines))
+    requested = [m for m in missing if m in specs and not state.copies.get(m)]
+    candidates = requested or [
         model
         for model in specs
-        if not board.copies.get(model) and _near_in(board, model) == math.inf
+        if not state.copies.get(model) and _cached_load_delay(state, model) == math.inf
     ]
-    idle = [e for e in able if e.busy_for <= 0 and _is_idle(board, e)]
-    for model in far:
-        moves = [move for e in idle if (move := _move(board, e, model)) is not None]
+    idle = [e for e in usable if e.busy_s <= 0 and _is_idle(state, e)]
+    for model in candidates:
+        moves = [move for e in idle if (move := _plan(state, e, model)) is not None]
         if moves:
-            return min(moves, key=lambda move: _staging_cost(board, move))
+            return min(moves, key=lambda move: _staging_cost(state, move))
     return None
 
 
-def next_return(
+def next_restore(
     specs: Mapping[Model, ModelSpec],
     demand: Mapping[Model, float],
     engines: Iterable[EngineView],
-    homes: Mapping[Upstream, frozenset[Model]],
+    initial_models: Mapping[Upstream, frozenset[Model]],
 ) -> Move | None:
     """Return a load that brings back what staging took from its place.
 
     What engines held when they were first seen was put there by whoever knows which
     models are busy. Only while nobody asks for anything; demand decides after that.
     """
-    board = _Board(specs, demand, list(engines))
+    state = _PlacementState(specs, demand, list(engines))
     if any(demand.values()):
         return None
-    for engine in board.engines:
-        home = homes.get(engine.upstream, frozenset())
-        if engine.busy_for > 0:
+    for engine in state.engines:
+        initial = initial_models.get(engine.upstream, frozenset())
+        if engine.busy_s > 0:
             continue
-        guests = engine.models - home
-        trimmed = replace(engine, settling=engine.models - guests)
-        for model in sorted(home - engine.models):
-            move = _move(board, trimmed, model) if model in specs else None
+        added = engine.models - initial
+        trimmed = replace(engine, settling=engine.models - added)
+        for model in sorted(initial - engine.models):
+            move = _plan(state, trimmed, model) if model in specs else None
             if move is not None and not move.cold:
                 return move
     return None
 
 
-def _is_idle(board: _Board, engine: EngineView) -> bool:
-    return not any(board.demand.get(m, 0.0) for m in engine.models | engine.coming)
+def _is_idle(state: _PlacementState, engine: EngineView) -> bool:
+    return not any(state.demand.get(m, 0.0) for m in engine.models | engine.loading)
 
 
-def _staging_cost(board: _Board, move: Move) -> tuple[int, int]:
+def _staging_cost(state: _PlacementState, move: Move) -> tuple[int, int]:
     """Prefer few victims, and models with few copies: more were put there for a reason.
 
     What staging takes comes back, but a busy model that has lost a copy when the first
     callers come makes all of them wait.
     """
-    return len(move.victims), sum(board.copies.get(v, 1) for v in move.victims)
+    return len(move.evicted), sum(state.copies.get(model, 1) for model in move.evicted)
 
 
-def _disturbed(board: _Board, engine: EngineView, move: Move) -> float:
+def _disrupted_demand(state: _PlacementState, engine: EngineView, move: Move) -> float:
     """Return the demand at an engine for models whose adapters it could not load."""
-    staying = engine.models - engine.leaving - frozenset(move.victims)
+    remaining = engine.models - engine.evicting - frozenset(move.evicted)
     return sum(
-        board.demand.get(model, 0.0) / max(1, board.copies.get(model, 1))
-        for model in staying
-        if model in board.specs and board.specs[model].adapters
+        state.demand.get(model, 0.0) / max(1, state.copies.get(model, 1))
+        for model in remaining
+        if model in state.specs and state.specs[model].adapters
     )
 
 
-def _move(board: _Board, engine: EngineView, model: Model) -> Move | None:
-    spec = board.specs[model]
-    held = engine.models | engine.coming
-    free = engine.memory - engine.adapters_memory
-    free -= sum(board.specs[m].memory for m in held if m in board.specs)
-    victims: list[Model] = []
+def _plan(state: _PlacementState, engine: EngineView, model: Model) -> Move | None:
+    spec = state.specs[model]
+    occupying = engine.models | engine.loading
+    free = engine.memory_mb - engine.adapters_memory_mb
+    free -= sum(state.specs[m].memory for m in occupying if m in state.specs)
+    evicted: list[Model] = []
     candidates = sorted(
-        engine.models - engine.leaving - engine.settling, key=board.value
+        engine.models - engine.evicting - engine.settling, key=state.copy_value
     )
-    for victim in candidates:
+    for evictee in candidates:
         if free >= spec.memory:
             break
-        if victim in board.specs:
-            victims.append(victim)
-            free += board.specs[victim].memory
+        if evictee in state.specs:
+            evicted.append(evictee)
+            free += state.specs[evictee].memory
     if free < spec.memory:
         return None
-    drain = engine.drain if engine.running.intersection(victims) else 0.0
-    near = model in engine.in_memory | engine.on_disk
-    seconds = spec.load_cold
-    if near:
-        seconds = spec.load_memory if model in engine.in_memory else spec.load_disk
-    return Move(model, engine.upstream, tuple(victims), not near, seconds, drain)
+    drain_s = engine.drain_s if engine.in_use.intersection(evicted) else 0.0
+    cached = model in engine.in_memory | engine.on_disk
+    load_s = spec.load_cold
+    if cached:
+        load_s = spec.load_memory if model in engine.in_memory else spec.load_disk
+    return Move(model, engine.upstream, tuple(evicted), not cached, load_s, drain_s)
--- a/src/persimmonhitch/decide/waiting.py
+++ b/src/persimmonhitch/decide/waiting.py
@@ -17,15 +17,15 @@
 from ..ids import Model
 from ..verdict import ErrorCode, Failure
 
-FIRST_LOAD: Final = 20.0
-FIRST_RESTART: Final = 2.0
-LEAST_LEFT: Final = 1.0
-GIVE_UP: Final = 4.0
-NEW: Final = 0.3
+INITIAL_LOAD_S: Final = 20.0
+INITIAL_RESTART_S: Final = 2.0
+MIN_REMAINING_S: Final = 1.0
+MAX_OVERDUE_FACTOR: Final = 4.0
+NEWEST_WEIGHT: Final = 0.3
 """Weight of the newest load in the usual time."""
 
 
-class MissingCopies:
+class LoadWaitEstimator:
     """What one entry has seen of models, or services, that nobody served.
 
     Parameters
@@ -34,31 +34,31 @@
         Seconds that one is missing, until some have been seen.
     """
 
-    def __init__(self, usual: float) -> None:
-        self.usual = usual
+    def __init__(self, typical_s: float) -> None:
+        self.typical_s = typical_s
         self._since: dict[Model, float] = {}
 
-    def missing(self, model: Model, now: float) -> None:
+    def record_missing(self, model: Model, now: float) -> None:
         """Note that no copy serves a model."""
         self._since.setdefault(model, now)
 
-    def served(self, model: Model, now: float) -> None:
+    def record_served(self, model: Model, now: float) -> None:
         """Note that a copy serves a model; one that was missing has been loaded."""
         since = self._since.pop(model, None)
         if since is not None:
-            self.usual += NEW * (now - since - self.usual)
+            self.typical_s += NEWEST_WEIGHT * (now - since - self.typical_s)
 
-    def left(self, model: Model, now: float) -> float:
+    def remaining(self, model: Model, now: float) -> float:
         """Return the seconds until a copy is expected."""
-        absent = now - self._since.get(model, now)
-        if absent > GIVE_UP * self.usual:
-            return self.usual
-        return max(self.usual - absent, LEAST_LEFT)
+        missing_s = now - self._since.get(model, now)
+        if missing_s > MAX_OVERDUE_FACTOR * self.typical_s:
+            return self.typical_s
+        return max(self.typical_s - missing_s, MIN_REMAINING_S)
 
     def refusal(self, model: Model, now: float, deadline_at: float) -> Failure | None:
         """Return why a request should not wait, or None if it should."""
-        left = self.left(model, now)
-        if now + left <= deadline_at:
+        remaining_s = self.remaining(model, now)
+        if now + remaining_s <= deadline_at:
             return None
         reason = f"{model} is not loaded and would come too late"
-        return Failure(ErrorCode.MODEL_LOADING, reason, retry_after=left)
+        return Failure(ErrorCode.MODEL_LOADING, reason, retry_after=remaining_s)
--- a/src/persimmonhitch/direct/admit.py
+++ b/src/persimmonhitch/direct/admit.py
@@ -9,7 +9,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..decide.dispatch import Need
+from ..decide.dispatch import DispatchRequest
 from ..fleet.call import CallerHeaders, fingerprint
 from ..fleet.config import AccountSpec, CallKind, FleetConfig, Route
 from ..fleet.routes import RouteTable
@@ -45,7 +45,7 @@
     route: Route
     account: AccountSpec | None
     cost: Tokens
-    request: Need
+    request: DispatchRequest
     deadline_at: float
     """Monotonic time at which the caller's deadline or the route's timeout expires."""
 
@@ -107,20 +107,20 @@
     arrived: float,
     deadline_at: float,
     digest: Fingerprint,
-) -> Need:
+) -> DispatchRequest:
     rank = account.rank if account is not None and account.rank is not None else None
-    return Need(
+    return DispatchRequest(
         service=_choose_service(route),
         model=caller.model,
         adapter=caller.adapter,
-        prompt=caller.prompt_tokens,
-        tokens=caller.prompt_tokens + caller.output_tokens,
+        prompt_tokens=caller.prompt_tokens,
+        kv_tokens=caller.prompt_tokens + caller.output_tokens,
         rank=route.rank if rank is None else rank,
         arrived=arrived,
-        aim_at=arrived + route.aim,
-        event_by=_first_event_deadline(route, arrived, deadline_at),
+        latency_target_at=arrived + route.aim,
+        first_event_by=_first_event_deadline(route, arrived, deadline_at),
         deadline_at=deadline_at,
-        call=digest,
+        fingerprint=digest,
     )
 
 
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -7,7 +7,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..decide.poison import FRESH
+from ..decide.poison import RECENT_START_S
 from ..decide.retries import RetryBudget
 from ..fleet.config import CallKind
 from ..fleet.upstream import UpstreamRecord
@@ -280,7 +280,7 @@
         """
         is_stream = request.admitted.route.kind is CallKind.STREAM
         elapsed = 0.0 if request.head_at is None else self._clock() - request.head_at
-        recent = not is_stream or elapsed <= FRESH
+        recent = not is_stream or elapsed <= RECENT_START_S
         self._poison.connection_lost(request.fingerprint, record, recent)
 
     def _abort_failure(self, request: InFlightRequest, failure: Failure) -> Failure:
--- a/src/persimmonhitch/direct/broadcast.py
+++ b/src/persimmonhitch/direct/broadcast.py
@@ -8,7 +8,7 @@
 
 from returns.result import Success
 
-from ..decide.overlay import PROBE_EVERY, Overlay, Routes, Way
+from ..decide.overlay import PROBE_INTERVAL_S, Overlay, RelayDirection, Routes
 from ..ids import Incarnation, Vm
 from ..observe.logs import log
 from ..wire.codec import decode, encode
@@ -67,7 +67,7 @@
         observe_age: Callable[[float], None] = lambda _seconds: None,
     ) -> None:
         self._observe_age = observe_age
-        self._vm = overlay.me.vm
+        self._vm = overlay.local.vm
         self._incarnation = incarnation
         self._overlay = overlay
         self._send = send
@@ -109,9 +109,9 @@
         """Relay the new items of a neighbour's batch and deliver them to handlers."""
         now = self._clock()
         with self._lock:
-            self._overlay.heard(vm, batch.direction, now)
+            self._overlay.record_message(vm, batch.direction, now)
             new_items = [item for item in batch.items if self._record_if_new(item)]
-            across = batch.direction is Way.ACROSS
+            across = batch.direction is RelayDirection.BETWEEN_ROOTS
             self._queue += [_Queued(item, vm, across, now) for item in new_items]
         if new_items:
             self._observe_age(max(item.age_ms for item in new_items) / 1000)
@@ -161,14 +161,14 @@
                 return
             self._flushed_at, self._urgent = now, False
             self._heartbeat_at = now if heartbeat else self._heartbeat_at
-            probe_due = now - self._probed_at >= PROBE_EVERY
+            probe_due = now - self._probed_at >= PROBE_INTERVAL_S
             self._probed_at = now if probe_due else self._probed_at
             routes = self.routes = self._overlay.routes(now)
             queue, self._queue = self._queue, []
         self._log_parent(routes)
         self._send_queued(routes, queue, now, heartbeat)
         if probe_due and routes.probes:
-            self._send_batch(routes.probes, BroadcastBatch(Way.UP, ()))
+            self._send_batch(routes.probes, BroadcastBatch(RelayDirection.UP, ()))
 
     def _send_queued(
         self, routes: Routes, queue: list[_Queued], now: float, heartbeat: bool
@@ -177,9 +177,13 @@
         for_parent = [q for q in queue if q.source != parent]
         for_across = [q for q in queue if not q.from_across]
         groups = (
-            (Way.UP, frozenset((parent,) if parent is not None else ()), for_parent),
-            (Way.DOWN, routes.children, queue),
-            (Way.ACROSS, routes.across, for_across),
+            (
+                RelayDirection.UP,
+                frozenset((parent,) if parent is not None else ()),
+                for_parent,
+            ),
+            (RelayDirection.DOWN, routes.children, queue),
+            (RelayDirection.BETWEEN_ROOTS, routes.roots, for_across),
         )
         for direction, targets, selected in groups:
             if targets and (selected or heartbeat):
--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -8,14 +8,20 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..decide.dispatch import Choice, Lane, Need, Step, choose
-from ..decide.patience import (
-    LIMIT_WORD,
-    LOAD_WORD,
-    give_up_at,
-    limited,
-    load_limit,
+from ..decide.dispatch import (
+    Choice,
+    DispatchRequest,
+    Step,
+    UpstreamView,
+    choose_upstream,
+)
+from ..decide.wait_limits import (
+    LIMIT_REPLY_TIMEOUT_S,
+    LOAD_REPORT_TIMEOUT_S,
+    limit_refusal,
+    load_wait_deadline,
     refusal,
+    wait_deadline,
 )
 from ..fleet.config import FleetConfig
 from ..fleet.upstream import UpstreamRecord
@@ -36,7 +42,7 @@
 
 @dataclass(eq=False)
 class _Waiter:
-    request: Need
+    request: DispatchRequest
     excluded: frozenset[Upstream]
     give_up_at: float
     decided: threading.Event = field(default_factory=threading.Event)
@@ -57,7 +63,7 @@
         self,
         dispatcher: "Dispatcher",
         record: UpstreamRecord,
-        request: Need,
+        request: DispatchRequest,
         sent_at: float,
         unread: int,
     ) -> None:
@@ -116,11 +122,14 @@
     # -- requests ----------------------------------------------------------------
 
     def acquire(
-        self, request: Need, abort: Abort, excluded: frozenset[Upstream] = frozenset()
+        self,
+        request: DispatchRequest,
+        abort: Abort,
+        excluded: frozenset[Upstream] = frozenset(),
     ) -> Result[Permit, Failure]:
         """Wait for a slot; return its permit, or a failure if none is free in time."""
         now = self._clock()
-        waiter = _Waiter(request, excluded, give_up_at(request))
+        waiter = _Waiter(request, excluded, wait_deadline(request))
         with self._lock:
             if self._closing is not None:
                 return Err(self._closing)
@@ -145,9 +154,9 @@
     def _no_slot_failure(self, waiter: _Waiter) -> Failure:
         trial_failure = None
         if waiter.last_choice.step is Step.WAIT:
-            trial_failure = self._poison.trial_refusal(waiter.request.call)
+            trial_failure = self._poison.trial_refusal(waiter.request.fingerprint)
         if trial_failure is None and waiter.limited_by:
-            return limited(waiter.request, self._limits.wait_s(waiter.limited_by))
+            return limit_refusal(waiter.request, self._limits.wait_s(waiter.limited_by))
         return trial_failure or refusal(waiter.last_choice.step, waiter.request)
 
     def _refuse_if_load_is_late(self, waiter: _Waiter, now: float) -> None:
@@ -158,10 +167,10 @@
         ready_at = self._ready_at.get(request.model, 0.0)
         if ready_at <= now:
             # The leader has not reported a load of this model yet.
-            waiter.give_up_at = min(request.deadline_at, now + LOAD_WORD)
+            waiter.give_up_at = min(request.deadline_at, now + LOAD_REPORT_TIMEOUT_S)
             return
-        if ready_at < load_limit(request):
-            waiter.give_up_at = load_limit(request)
+        if ready_at < load_wait_deadline(request):
+            waiter.give_up_at = load_wait_deadline(request)
             return
         waiter.failure = refusal(Step.LOAD, request, ready_at - now)
         waiter.decided.set()
@@ -172,7 +181,11 @@
             self._demand[model] = self._demand.get(model, 0.0) + tokens
 
     def record_first_token(
-        self, record: UpstreamRecord, request: Need, sent_at: float, unread: int
+        self,
+        record: UpstreamRecord,
+        request: DispatchRequest,
+        sent_at: float,
+        unread: int,
     ) -> None:
         """Count a first token, which marks the prompt of its request as processed."""
         with self._lock:
@@ -180,11 +193,13 @@
                 record.name, request, self._clock() - sent_at, unread
             )
 
-    def release(self, record: UpstreamRecord, request: Need, prompt_read: bool) -> None:
+    def release(
+        self, record: UpstreamRecord, request: DispatchRequest, prompt_read: bool
+    ) -> None:
         """Count the end of an attempt and assign the free slot to a waiting request."""
         with self._lock:
             self._table.record_finish(record.name, request, prompt_read)
-            self._poison.ended(request.call, record.name)
+            self._poison.ended(request.fingerprint, record.name)
             self._match_waiters(record)
 
     def close(self, failure: Failure) -> None:
@@ -205,21 +220,23 @@
                 continue
             if freed is not None and not self._table.can_serve(freed, waiter.request):
                 continue
-            waiter.failure = self._poison.refusal(waiter.request.call)
+            waiter.failure = self._poison.refusal(waiter.request.fingerprint)
             if waiter.failure is not None:
                 waiter.decided.set()
                 continue
             views = self._table.views(waiter.request, waiter.excluded)
             self._poison.exclude_upstreams(waiter.request, views)
             waiter.limited_by = self._all_limited(waiter.request, views)
-            waiter.last_choice = choose(views, waiter.request, self._zone)
+            waiter.last_choice = choose_upstream(views, waiter.request, self._zone)
             self._apply_choice(waiter, waiter.last_choice)
             if waiter.limited_by and not waiter.decided.is_set():
                 self._refuse_limited(waiter)
 
-    def _all_limited(self, request: Need, views: list[Lane]) -> frozenset[Upstream]:
+    def _all_limited(
+        self, request: DispatchRequest, views: list[UpstreamView]
+    ) -> frozenset[Upstream]:
         at_limit = self._limits.exclude_limited(views)
-        able = {v.upstream for v in views if request.model is None or v.model_here}
+        able = {v.upstream for v in views if request.model is None or v.has_model}
         return at_limit & able if at_limit and able <= at_limit else frozenset()
 
     def _refuse_limited(self, waiter: _Waiter) -> None:
@@ -227,9 +244,9 @@
         wait = self._limits.wait_s(waiter.limited_by)
         now = self._clock()
         if wait is None:
-            waiter.give_up_at = min(waiter.give_up_at, now + LIMIT_WORD)
+            waiter.give_up_at = min(waiter.give_up_at, now + LIMIT_REPLY_TIMEOUT_S)
         elif now + wait > waiter.give_up_at:
-            waiter.failure = limited(waiter.request, wait)
+            waiter.failure = limit_refusal(waiter.request, wait)
             waiter.decided.set()
 
     def _apply_choice(self, waiter: _Waiter, choice: Choice) -> None:
@@ -238,16 +255,18 @@
             state = self._table.get(choice.upstream)
             assert state is not None
             self._table.record_start(choice.upstream, request)
-            self._poison.started(request.call, choice.upstream)
+            self._poison.started(request.fingerprint, choice.upstream)
             self._limits.sent(choice.upstream)
             waiter.upstream = state.record
             self._waiters.remove(waiter)
             waiter.decided.set()
-        elif choice.step is Step.NONE:
-            waiter.failure = refusal(Step.NONE, request)
+        elif choice.step is Step.NO_UPSTREAM:
+            waiter.failure = refusal(Step.NO_UPSTREAM, request)
             waiter.decided.set()
-        elif choice.step in (Step.FETCH, Step.LOAD) and request.model is not None:
-            adapter = request.adapter if choice.step is Step.FETCH else None
+        elif (
+            choice.step in (Step.LOAD_ADAPTER, Step.LOAD) and request.model is not None
+        ):
+            adapter = request.adapter if choice.step is Step.LOAD_ADAPTER else None
             self._request_load(request.model, adapter, choice.upstream)
 
     def _request_load(
@@ -294,7 +313,7 @@
         with self._lock:
             self._table.receive_entry_update(vm, msg)
 
-    def record_missing(self, record: UpstreamRecord, request: Need) -> None:
+    def record_missing(self, record: UpstreamRecord, request: DispatchRequest) -> None:
         """Record that an engine lacks a model or adapter listed in its inventory."""
         with self._lock:
             self._table.record_missing(record.name, request)
@@ -320,7 +339,7 @@
             state = self._table.get(record.name)
             if state is not None:
                 state.last_activity_at = now
-                state.health.ok(now)
+                state.health.succeeded(now)
 
     def record_activity(self, record: UpstreamRecord) -> None:
         """Record output of an upstream; runs per token, therefore without the lock."""
--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -8,7 +8,7 @@
 
 from returns.result import Success
 
-from ..decide.drains import DrainTime
+from ..decide.drain_estimate import DrainEstimate
 from ..fleet.config import EngineSpec, ModelSpec
 from ..fleet.upstream import Holding, UpstreamRecord
 from ..ids import Adapter, Epoch, Model
@@ -66,7 +66,7 @@
     loaded_at: dict[Model, float] = field(default_factory=dict)
     loading: Model | None = None
     ready_at: float = 0.0
-    drain_time: DrainTime = field(default_factory=DrainTime)
+    drain_time: DrainEstimate = field(default_factory=DrainEstimate)
     evicting: frozenset[Model] = frozenset()
 
     def memory_used(self) -> float:
@@ -334,7 +334,7 @@
             started_at = self._clock()
             if all(self._unload_model(evicted, drain_s > 0) for evicted in evictions):
                 if drain_s:
-                    engine.drain_time.saw(self._clock() - started_at)
+                    engine.drain_time.record(self._clock() - started_at)
                 self._order_load(model, load_s)
         finally:
             with self.lock:
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -74,12 +74,14 @@
         if not isinstance(result, Success):
             return self._deny(result.failure(), caller, active)
         admitted: Admitted = result.unwrap()
-        refusal = self._poison.refusal(admitted.request.call) or self._charge(admitted)
+        refusal = self._poison.refusal(admitted.request.fingerprint) or self._charge(
+            admitted
+        )
         if refusal is not None:
             return self._deny(refusal, caller, active)
         if admitted.request.model is not None:
             self._dispatcher.record_demand(
-                admitted.request.model, admitted.request.tokens
+                admitted.request.model, admitted.request.kv_tokens
             )
         request = InFlightRequest(
             admitted, Abort(req.disconnected, admitted.deadline_at), admitted.route.name
--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -49,7 +49,7 @@
     @property
     def fingerprint(self) -> Fingerprint:
         """Return the fingerprint shared by repeats of the request under other ids."""
-        return self.admitted.request.call
+        return self.admitted.request.fingerprint
 
     def release(self) -> None:
         """Release the slot at an upstream, if there is one."""
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -13,17 +13,17 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Final
 
-from ..decide.bursts import LoadRate
-from ..decide.demand import Demand
-from ..decide.drains import DrainTime
-from ..decide.missing import MissingModels, Standing
+from ..decide.demand import DemandTracker
+from ..decide.drain_estimate import DrainEstimate
+from ..decide.load_rate import LoadRateLimiter
+from ..decide.missing import Availability, MissingModels
 from ..decide.residency import (
-    SETTLED,
+    SETTLE_S,
     EngineView,
     Move,
     next_move,
     next_overdue,
-    next_return,
+    next_restore,
     next_staging,
 )
 from ..fleet.config import EngineSpec, FleetConfig
@@ -89,13 +89,13 @@
         self._cfg: FleetConfig | None = None
         self._records: dict[Upstream, UpstreamRecord] = {}
         self._controllers: dict[Upstream, EngineController] = {}
-        self._demand = Demand()
+        self._demand = DemandTracker()
         self._demand_rates: dict[Model, float] = {}
         self._requested_at: dict[Model, float] = {}
-        self._load_rate = LoadRate()
+        self._load_rate = LoadRateLimiter()
         self._peer_work = PeerWork()
         """Requests in progress at all entries, including this one."""
-        self._drain_time = DrainTime()
+        self._drain_time = DrainEstimate()
         self._active = False
         self._refreshing: set[Upstream] = set()
         # Models that were resident on each engine when first seen.
@@ -159,7 +159,7 @@
         now = self._clock()
         with self._lock:
             self._peer_work.receive(vm, msg, now)
-            self._demand.hear(vm, msg.demand, now)
+            self._demand.receive(vm, msg.demand, now)
 
     def receive_load_request(self, vm: Vm, msg: LoadRequest) -> None:
         """Load a model or an adapter that an entry has requests for.
@@ -171,7 +171,7 @@
         if msg.upstream is None or msg.adapter is None:
             if msg.demand:
                 with self._lock:
-                    self._demand.hear(vm, {msg.model: msg.demand}, self._clock())
+                    self._demand.receive(vm, {msg.model: msg.demand}, self._clock())
             self._round_due.set()
             return
         with self._lock:
@@ -214,7 +214,7 @@
         with self._lock:
             self._peer_work.expire(self._clock())
             self._demand_rates = self._demand.rates(self._clock())
-            self._requested_at = self._demand.asked_at()
+            self._requested_at = self._demand.requested_at()
         if self.election.epoch() is None:
             if self._active:
                 log("orders_ended")
@@ -233,7 +233,7 @@
         self._leading_since = self._clock()
         with self._lock:
             self._controllers = {}
-        self._load_rate = LoadRate()
+        self._load_rate = LoadRateLimiter()
         self._published_epoch = self.election.epoch() or self._published_epoch
         self._active = True
         predecessor = self.election.predecessor
@@ -370,7 +370,7 @@
         }
         for _ in range(len(controllers)):
             views = [_engine_view(c, in_use, now) for c in controllers]
-            cold_allowed = self._load_rate.allowed(spec.loads_per_second, now)
+            cold_allowed = self._load_rate.may_start(spec.loads_per_second, now)
             self._update_missing(spec, missing, views, now)
             move = self._overdue_move(spec, missing, demand, views, cold_allowed)
             if move is None:
@@ -380,7 +380,7 @@
             if move is None:
                 return
             if move.cold:
-                self._load_rate.take(spec.loads_per_second, now)
+                self._load_rate.record_start(spec.loads_per_second, now)
             self._start_load(by_name[move.upstream], move, demand)
 
     def _update_missing(
@@ -393,13 +393,13 @@
         requests = {m: at for m, at in self._requested_at.items() if m in spec.models}
         resident = frozenset().union(*(view.models for view in views))
         for change in missing.update(requests, resident, now):
-            if change.now is Standing.MISSING:
+            if change.availability is Availability.MISSING:
                 log("model_missing", model=change.model)
                 continue
             log(
                 "model_missing_ended",
                 model=change.model,
-                why=change.now.value,
+                why=change.availability.value,
                 missing_for=change.missing_for,
             )
 
@@ -411,8 +411,8 @@
         views: list[EngineView],
         cold_allowed: bool,
     ) -> Move | None:
-        missing.loading &= frozenset().union(*(view.coming for view in views))
-        missing_for = missing.missing_for(self._clock())
+        missing.loading &= frozenset().union(*(view.loading for view in views))
+        missing_for = missing.missing_durations(self._clock())
         move = next_overdue(
             spec.models, demand, views, missing_for, cold_allowed, missing.loading
         )
@@ -441,21 +441,21 @@
         if staging is not None:
             self._staged.add(staging.upstream)
             return staging
-        return next_return(spec.models, demand, views, self._home_models)
+        return next_restore(spec.models, demand, views, self._home_models)
 
     def _start_load(
         self, controller: EngineController, move: Move, demand: dict[Model, float]
     ) -> None:
         controller.engine.loading = move.model
-        controller.engine.evicting = frozenset(move.victims)
-        controller.engine.ready_at = self._clock() + move.takes
+        controller.engine.evicting = frozenset(move.evicted)
+        controller.engine.ready_at = self._clock() + move.total_s
         log(
             "load_begins",
             upstream=move.upstream,
             model=move.model,
-            instead=",".join(move.victims) or "-",
+            instead=",".join(move.evicted) or "-",
             cold=move.cold,
-            drain=move.drain,
+            drain=move.drain_s,
             demand=demand.get(move.model, 0.0),
         )
         # Model loads take seconds. In the worker pool they could occupy all threads and
@@ -465,9 +465,9 @@
             args=(
                 controller.load_model,
                 move.model,
-                move.victims,
-                move.seconds,
-                move.drain,
+                move.evicted,
+                move.load_s,
+                move.drain_s,
             ),
             name="load",
             daemon=True,
@@ -497,16 +497,16 @@
     loading = frozenset({engine.loading} if engine.loading is not None else ())
     return EngineView(
         upstream=engine.record.name,
-        memory=engine.spec.memory,
-        adapters_memory=engine.adapters_memory(),
+        memory_mb=engine.spec.memory,
+        adapters_memory_mb=engine.adapters_memory(),
         models=frozenset(inventory.models) if inventory else frozenset(),
-        busy_for=controller.busy_for(),
-        coming=loading,
-        late=engine.loading is not None and now >= engine.ready_at,
-        leaving=engine.evicting,
+        busy_s=controller.busy_for(),
+        loading=loading,
+        load_overdue=engine.loading is not None and now >= engine.ready_at,
+        evicting=engine.evicting,
         in_memory=inventory.in_memory if inventory else frozenset(),
         on_disk=inventory.on_disk if inventory else frozenset(),
-        settling=frozenset(model for model, at in load_times if now - at < SETTLED),
-        running=frozenset(in_use.get(engine.record.name, ())),
-        drain=engine.drain_time.expected,
+        settling=frozenset(model for model, at in load_times if now - at < SETTLE_S),
+        in_use=frozenset(in_use.get(engine.record.name, ())),
+        drain_s=engine.drain_time.expected_s,
     )
--- a/src/persimmonhitch/direct/local_work.py
+++ b/src/persimmonhitch/direct/local_work.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from ..decide.dispatch import Need
+from ..decide.dispatch import DispatchRequest
 from ..ids import Adapter, Model, Upstream
 from .peer_messages import ModelUse, UpstreamWork
 
@@ -20,23 +20,23 @@
     busy_since: float = 0.0
     """When the upstream last went from idle to having a request, monotonic seconds."""
 
-    def start(self, request: Need, now: float) -> None:
+    def start(self, request: DispatchRequest, now: float) -> None:
         """Add a request that is sent."""
         if not self.requests:
             self.busy_since = now
         self.requests += 1
-        self.tokens += request.tokens
-        self.prefill_tokens += request.prompt
+        self.tokens += request.kv_tokens
+        self.prefill_tokens += request.prompt_tokens
         if request.model is not None:
             key = (request.model, request.adapter)
             self.model_counts[key] = self.model_counts.get(key, 0) + 1
 
-    def finish(self, request: Need, prefill_done: bool) -> None:
+    def finish(self, request: DispatchRequest, prefill_done: bool) -> None:
         """Remove a request that has ended."""
         self.requests -= 1
-        self.tokens -= request.tokens
+        self.tokens -= request.kv_tokens
         if not prefill_done:
-            self.prefill_tokens -= request.prompt
+            self.prefill_tokens -= request.prompt_tokens
         if request.model is not None:
             key = (request.model, request.adapter)
             self.model_counts[key] -= 1
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -144,7 +144,7 @@
             lambda: len(self.peers) + 1,
             on_change=self._tick_due.set,
         )
-        self.blocked_calls = BlockedRequests(store, self.poison, self.overlay.place)
+        self.blocked_calls = BlockedRequests(store, self.poison, self.overlay.rank)
         self.connection_pool = ConnectionPool()
         self.crash_checks = CrashChecks(self.poison, self.connection_pool)
         self.dispatcher = Dispatcher(
@@ -182,7 +182,7 @@
         return Leader(
             self.vm,
             lambda last_order_times: LeaderElection(
-                self.vm, lease, self, last_order_times, guard_s, rank=self.overlay.place
+                self.vm, lease, self, last_order_times, guard_s, rank=self.overlay.rank
             ),
             self._publish_inventory,
             self.dispatcher.prompt_read_rate,
@@ -389,7 +389,7 @@
                 "region": self.cfg.region,
                 "link_host": link_host,
                 "link_port": link_port,
-                "cores": self.overlay.me.cores,
+                "cores": self.overlay.local.cores,
             }
         )
         threading.Thread(target=self._tick, name="tick", daemon=True).start()
@@ -422,7 +422,7 @@
         if not may_follow(self.cfg.stale_most_ms / 1000):
             return frozenset()
         routes = self.broadcast.routes
-        return routes.children | (routes.across if routes.leads else frozenset())
+        return routes.children | (routes.roots if routes.is_first else frozenset())
 
     def _publish_entry_update(self) -> None:
         update = replace(self.dispatcher.entry_update(), usage=self.quota.tokens_used())
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ..decide.overlay import Way
+from ..decide.overlay import RelayDirection
 from ..ids import (
     Account,
     Adapter,
@@ -137,7 +137,7 @@
 class BroadcastBatch:
     """Broadcast items sent to one neighbour; an empty batch is a heartbeat."""
 
-    direction: Way
+    direction: RelayDirection
     items: tuple[BroadcastItem, ...]
 
 
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from ..decide.dispatch import Lane, Need
-from ..decide.patience import FULL_RETRY, SPREAD
-from ..decide.poison import CrashHistory, UpstreamStart
+from ..decide.dispatch import DispatchRequest, UpstreamView
+from ..decide.poison import CrashHistory, UpstreamInstance
+from ..decide.wait_limits import RETRY_JITTER, RETRY_S
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Fingerprint, Upstream, Vm
 from ..observe.logs import log
@@ -61,9 +61,9 @@
     """When an attempt last waited for the trial."""
 
 
-def instance_of(record: UpstreamRecord) -> UpstreamStart:
+def instance_of(record: UpstreamRecord) -> UpstreamInstance:
     """Return the instance of an upstream that a record describes."""
-    return UpstreamStart(record.name, record.born)
+    return UpstreamInstance(record.name, record.born)
 
 
 class PoisonGuard:
@@ -95,12 +95,12 @@
         self._running: dict[Fingerprint, Counter[Upstream]] = {}
         self._announced: dict[Fingerprint, _Announcement] = {}
         self._peers: dict[Vm, _PeerTrials] = {}
-        self._crashes: dict[UpstreamStart, _LocalCrash] = {}
-        self._alive: dict[UpstreamStart, float] = {}
+        self._crashes: dict[UpstreamInstance, _LocalCrash] = {}
+        self._alive: dict[UpstreamInstance, float] = {}
         self._completed: dict[Fingerprint, float] = {}
         self._own_blocked: dict[Fingerprint, float] = {}
         """When this entry itself blocked each of these requests."""
-        self._unsent: set[UpstreamStart | Fingerprint] = set()
+        self._unsent: set[UpstreamInstance | Fingerprint] = set()
         """Changed instances and requests that no update has carried yet."""
         self._update_due = False
         self._full_update_at = -math.inf
@@ -112,7 +112,7 @@
         """Return the refusal of a blocked request, None if it may be sent."""
         with self._lock:
             remaining_s = self._history.blocked_for(fingerprint, self._clock())
-            is_suspected = self._history.blame(fingerprint) is not None
+            is_suspected = self._history.crash_counts(fingerprint) is not None
         if remaining_s is not None:
             reason = "upstreams crashed each time that this request ran"
             return Failure(ErrorCode.CRASHES_UPSTREAMS, reason, retry_after=remaining_s)
@@ -124,22 +124,24 @@
             return Failure(ErrorCode.OVERLOADED, reason, retry_after=_retry_after_s())
         return None
 
-    def exclude_upstreams(self, request: Need, views: Iterable[Lane]) -> None:
+    def exclude_upstreams(
+        self, request: DispatchRequest, views: Iterable[UpstreamView]
+    ) -> None:
         """Exclude upstreams on which a suspect request may not run now."""
         with self._lock:
-            if not self._history.is_suspect(request.call):
+            if not self._history.is_suspect(request.fingerprint):
                 return
             now = self._clock()
-            must_wait = not self._may_run_trial(request.call, now)
+            must_wait = not self._may_run_trial(request.fingerprint, now)
             trial_upstreams = {trial.upstream for trial in self._all_trials(now)}
         for view in views:
             if must_wait or view.upstream in trial_upstreams:
-                view.trust = 0.0
+                view.traffic_share = 0.0
 
     def _may_run_trial(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether a suspect may be sent; announce its trial first if needed."""
         if (
-            self._history.waits_for_proof(fingerprint, now)
+            self._history.awaits_confirmation(fingerprint, now)
             or fingerprint in self._running
         ):
             return False
@@ -200,25 +202,25 @@
             )
             crash.at = now
             crash.lost[fingerprint] = fresh or crash.lost.get(fingerprint, False)
-            self._history.lost(instance, {fingerprint: fresh}, now, now)
+            self._history.record_lost(instance, {fingerprint: fresh}, now, now)
             self._mark_changed(instance)
 
     def answered(self, record: UpstreamRecord, sent_at: float) -> None:
         """Record that an upstream has answered a request sent at ``sent_at``."""
         instance = instance_of(record)
         with self._lock:
-            if not self._history.crashed(instance):
+            if not self._history.has_crashed(instance):
                 return
-            if self._history.alive(instance, sent_at):
+            if self._history.record_alive(instance, sent_at):
                 self._refute(instance, sent_at)
 
     def completed(self, fingerprint: Fingerprint) -> None:
         """Record that a request ran to completion, which clears it."""
         now = self._clock()
         with self._lock:
-            if self._history.blame(fingerprint) is None:
+            if self._history.crash_counts(fingerprint) is None:
                 return
-            if self._history.completed(fingerprint, now):
+            if self._history.record_completed(fingerprint, now):
                 log("call_cleared", call=fingerprint)
                 self._drop_losses(fingerprint, now)
                 self._completed[fingerprint] = now
@@ -234,7 +236,7 @@
         """Record that an upstream accepts no connection."""
         instance = instance_of(record)
         with self._lock:
-            if self._history.crashed(instance):
+            if self._history.has_crashed(instance):
                 self._confirm(instance)
 
     # -- confirmation of crashes ---------------------------------------------------
@@ -262,24 +264,24 @@
                 if current is not None and instance_of(current) != instance:
                     self._confirm(instance)
 
-    def _confirm(self, instance: UpstreamStart) -> None:
+    def _confirm(self, instance: UpstreamInstance) -> None:
         if instance in self._crashes:
             self._crashes[instance].confirmed = True
         if not self._history.confirm(instance):
             return
-        log("upstream_crashed", upstream=instance.name, born=instance.born)
+        log("upstream_crashed", upstream=instance.name, born=instance.started_at_ms)
         self._mark_changed(instance)
         self._block_attributed()
 
-    def _refute(self, instance: UpstreamStart, alive_at: float) -> None:
-        log("crash_refuted", upstream=instance.name, born=instance.born)
+    def _refute(self, instance: UpstreamInstance, alive_at: float) -> None:
+        log("crash_refuted", upstream=instance.name, born=instance.started_at_ms)
         self._crashes.pop(instance, None)
         self._alive[instance] = alive_at
         self._mark_changed(instance)
 
     def _block_attributed(self) -> None:
         now = self._clock()
-        for fingerprint in self._history.judge(now):
+        for fingerprint in self._history.block_attributed(now):
             remaining_s = self._history.blocked_for(fingerprint, now)
             log("call_blocked", call=fingerprint, seconds=remaining_s, source="local")
             self._own_blocked[fingerprint] = now
@@ -304,13 +306,13 @@
             return update
 
     def _build_update(self, now: float, is_full: bool) -> CrashUpdate:
-        def is_due(key: UpstreamStart | Fingerprint) -> bool:
+        def is_due(key: UpstreamInstance | Fingerprint) -> bool:
             return is_full or key in self._unsent
 
         crashes = tuple(
             CrashReport(
                 instance.name,
-                instance.born,
+                instance.started_at_ms,
                 _age_ms(now, crash.at),
                 crash.confirmed,
                 dict(crash.lost),
@@ -319,7 +321,7 @@
             if is_due(instance)
         )
         alive = tuple(
-            LivenessReport(instance.name, instance.born, _age_ms(now, at))
+            LivenessReport(instance.name, instance.started_at_ms, _age_ms(now, at))
             for instance, at in self._alive.items()
             if is_due(instance)
         )
@@ -343,18 +345,18 @@
             now = self._clock()
             self._peers[vm] = _PeerTrials(now, msg.trials)
             for crash in msg.crashes:
-                instance = UpstreamStart(crash.upstream, crash.started_at_ms)
+                instance = UpstreamInstance(crash.upstream, crash.started_at_ms)
                 at = as_of - crash.age_ms / 1000
-                self._history.lost(instance, crash.lost, at, now)
+                self._history.record_lost(instance, crash.lost, at, now)
                 if crash.confirmed:
                     self._history.confirm(instance)
             for report in msg.alive:
-                instance = UpstreamStart(report.upstream, report.started_at_ms)
-                if self._history.alive(instance, as_of - report.age_ms / 1000):
+                instance = UpstreamInstance(report.upstream, report.started_at_ms)
+                if self._history.record_alive(instance, as_of - report.age_ms / 1000):
                     self._crashes.pop(instance, None)
             for fingerprint, age_ms in msg.completed.items():
                 at = as_of - age_ms / 1000
-                self._history.completed(fingerprint, at)
+                self._history.record_completed(fingerprint, at)
                 self._drop_losses(fingerprint, at)
             self._add_blocked({f: as_of + s for f, s in msg.blocked.items()}, vm)
             self._block_attributed()
@@ -377,7 +379,7 @@
                     "call_blocked", call=fingerprint, seconds=until - now, source=source
                 )
 
-    def _mark_changed(self, key: UpstreamStart | Fingerprint | None = None) -> None:
+    def _mark_changed(self, key: UpstreamInstance | Fingerprint | None = None) -> None:
         """Request an update at once; ``key`` is the changed instance or request.
 
         Trials need no key, since each update carries all of them.
@@ -407,7 +409,7 @@
         self._crashes = {
             instance: crash
             for instance, crash in self._crashes.items()
-            if now - crash.at <= RESEND_TTL_S and self._history.crashed(instance)
+            if now - crash.at <= RESEND_TTL_S and self._history.has_crashed(instance)
         }
         self._alive = {i: a for i, a in self._alive.items() if now - a <= RESEND_TTL_S}
         self._completed = {
@@ -437,7 +439,7 @@
 
 
 def _retry_after_s() -> float:
-    return FULL_RETRY * (1.0 + random.random() * SPREAD)
+    return RETRY_S * (1.0 + random.random() * RETRY_JITTER)
 
 
 def _age_ms(now: float, at: float) -> int:
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..decide.dispatch import Lane
-from ..decide.poison import UpstreamStart
-from ..decide.request_limits import Allowance, Grants, rate_of
+from ..decide.dispatch import UpstreamView
+from ..decide.poison import UpstreamInstance
+from ..decide.request_limits import Allowance, GrantBucket, effective_rate
 from ..fleet.call import RequestLimit
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Upstream, Vm
@@ -67,10 +67,10 @@
         self._on_change = on_change
         # Reentrant: on the leader itself, a grant is received while it is requested.
         self._lock = threading.RLock()
-        self._states: dict[UpstreamStart, _LimitState] = {}
-        self._allowances: dict[Upstream, tuple[UpstreamStart, Allowance]] = {}
-        self._grants: dict[UpstreamStart, Grants] = {}
-        self._unsent: set[UpstreamStart] = set()
+        self._states: dict[UpstreamInstance, _LimitState] = {}
+        self._allowances: dict[Upstream, tuple[UpstreamInstance, Allowance]] = {}
+        self._grants: dict[UpstreamInstance, GrantBucket] = {}
+        self._unsent: set[UpstreamInstance] = set()
         self._full_update_at = -math.inf
 
     # -- reported limits -----------------------------------------------------------
@@ -96,7 +96,7 @@
         """Apply limits that upstreams reported to a peer."""
         with self._lock:
             for item in msg.limits:
-                instance = UpstreamStart(item.upstream, item.started_at_ms)
+                instance = UpstreamInstance(item.upstream, item.started_at_ms)
                 at = as_of - item.age_ms / 1000
                 old = self._states.get(instance)
                 if old is None or at > old.reported_at:
@@ -106,7 +106,7 @@
 
     def _record(
         self,
-        instance: UpstreamStart,
+        instance: UpstreamInstance,
         limit: RequestLimit | None,
         at: float,
         own_at: float,
@@ -119,7 +119,7 @@
             self._grants.pop(instance, None)
         else:
             old_rate = old.rate if old is not None and old_limit is not None else None
-            rate = rate_of(limit.per_second, old_rate)
+            rate = effective_rate(limit.per_second, old_rate)
             self._states[instance] = _LimitState(limit, rate, at, own_at)
             self._set_allowance(instance, rate)
         if limit != old_limit:
@@ -132,7 +132,7 @@
                 age=self._clock() - at,
             )
 
-    def _set_allowance(self, instance: UpstreamStart, rate: float) -> None:
+    def _set_allowance(self, instance: UpstreamInstance, rate: float) -> None:
         found = self._allowances.get(instance.name)
         if found is None or found[0] != instance:
             self._allowances[instance.name] = instance, Allowance(rate)
@@ -155,7 +155,7 @@
 
     # -- requests ------------------------------------------------------------------
 
-    def exclude_limited(self, views: Iterable[Lane]) -> frozenset[Upstream]:
+    def exclude_limited(self, views: Iterable[UpstreamView]) -> frozenset[Upstream]:
         """Exclude upstreams that accept no request now; return their names."""
         if not self._allowances:
             return frozenset()
@@ -163,16 +163,20 @@
         with self._lock:
             for view in views:
                 if view.upstream in self._allowances and not self._ready(view.upstream):
-                    view.trust = 0.0
+                    view.traffic_share = 0.0
                     excluded.add(view.upstream)
         return frozenset(excluded)
 
     def _ready(self, upstream: Upstream) -> bool:
         instance, allowance = self._allowances[upstream]
         now = self._clock()
-        if not allowance.has_place(now) and allowance.asks(now, self._entry_count()):
-            self._request(LimitRequest(instance.name, instance.born, allowance.rate))
-        return allowance.has_place(now)
+        if not allowance.can_send(now) and allowance.should_ask(
+            now, self._entry_count()
+        ):
+            self._request(
+                LimitRequest(instance.name, instance.started_at_ms, allowance.rate)
+            )
+        return allowance.can_send(now)
 
     def sent(self, upstream: Upstream) -> None:
         """Count a request that is sent."""
@@ -180,7 +184,7 @@
             with self._lock:
                 found = self._allowances.get(upstream)
                 if found is not None:
-                    found[1].use()
+                    found[1].consume()
 
     def wait_s(self, upstreams: Iterable[Upstream]) -> float | None:
         """Return the shortest wait in seconds until one of the upstreams is available.
@@ -190,7 +194,7 @@
         now = self._clock()
         with self._lock:
             entries = (self._allowances.get(name) for name in upstreams)
-            waits = [entry[1].wait(now) for entry in entries if entry is not None]
+            waits = [entry[1].wait_time(now) for entry in entries if entry is not None]
         known = [wait for wait in waits if wait is not None]
         return min(known) if known and len(known) == len(waits) else None
 
@@ -198,32 +202,32 @@
 
     def grant(self, vm: Vm, msg: LimitRequest) -> LimitGrant:
         """Answer the request of an entry for a grant, as the leader."""
-        instance, now = UpstreamStart(msg.upstream, msg.started_at_ms), self._clock()
+        instance, now = UpstreamInstance(msg.upstream, msg.started_at_ms), self._clock()
         with self._lock:
-            wait_s = self._grants_for(instance, msg.rate).take(now)
+            wait_s = self._grants_for(instance, msg.rate).take_request(now)
         wait_s *= 1.0 + random.random() * RETRY_JITTER
         return LimitGrant(msg.upstream, msg.started_at_ms, vm, math.ceil(wait_s * 1000))
 
-    def _grants_for(self, instance: UpstreamStart, rate: float) -> Grants:
+    def _grants_for(self, instance: UpstreamInstance, rate: float) -> GrantBucket:
         state = self._states.get(instance)
         if state is not None and state.limit is not None:
             rate = state.rate
         grants = self._grants.get(instance)
         if grants is None:
-            grants = self._grants[instance] = Grants(rate, self._clock())
+            grants = self._grants[instance] = GrantBucket(rate, self._clock())
         grants.resize(rate)
         return grants
 
     def acquire_order_slot(self, record: UpstreamRecord) -> bool:
         """Return whether an order may be sent to an upstream; count it if so."""
-        return self._acquire_slot(record, Grants.take_order)
+        return self._acquire_slot(record, GrantBucket.take_order)
 
     def acquire_report_slot(self, record: UpstreamRecord) -> bool:
         """Return whether a report may be requested from an upstream; count it if so."""
-        return self._acquire_slot(record, Grants.take_report)
+        return self._acquire_slot(record, GrantBucket.take_report)
 
     def _acquire_slot(
-        self, record: UpstreamRecord, acquire: Callable[[Grants, float], bool]
+        self, record: UpstreamRecord, acquire: Callable[[GrantBucket, float], bool]
     ) -> bool:
         instance = instance_of(record)
         with self._lock:
@@ -236,9 +240,9 @@
         """Apply the answer of the leader."""
         with self._lock:
             found = self._allowances.get(grant.upstream)
-            if found is None or found[0].born != grant.started_at_ms:
+            if found is None or found[0].started_at_ms != grant.started_at_ms:
                 return
-            found[1].answered(grant.wait_ms / 1000, self._clock())
+            found[1].receive_reply(grant.wait_ms / 1000, self._clock())
         self._on_change()
 
     # -- updates between entries ---------------------------------------------------
@@ -253,7 +257,7 @@
             limits = tuple(
                 ReportedLimit(
                     instance.name,
-                    instance.born,
+                    instance.started_at_ms,
                     state.limit is not None,
                     state.limit.per_second if state.limit else None,
                     max(0, int((now - state.reported_at) * 1000)),
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -7,8 +7,8 @@
 from statistics import median
 from typing import Final
 
-from ..decide.dispatch import READ_RATE, Lane, Need
-from ..decide.trust import Trust, is_silent, parts
+from ..decide.dispatch import DEFAULT_READ_RATE, DispatchRequest, UpstreamView
+from ..decide.health import UpstreamHealth, is_unresponsive, traffic_shares
 from ..fleet.call import Load
 from ..fleet.config import FleetConfig
 from ..fleet.upstream import Holding, UpstreamRecord
@@ -50,10 +50,10 @@
     reported_version: tuple[int, int] = (0, 0)
     busy_until: float = 0.0
     """Expected end of a model load; the engine rejects other orders until then."""
-    health: Trust = field(default_factory=Trust)
+    health: UpstreamHealth = field(default_factory=UpstreamHealth)
     last_activity_at: float = 0.0
     """Time of the last output received by a request of this entry."""
-    read_rate: float = READ_RATE
+    read_rate: float = DEFAULT_READ_RATE
     solo_read_rate: float | None = None
     """Prompt tokens per second while the engine processes a single prompt."""
     missing_at: dict[tuple[Model, Adapter | None], float] = field(default_factory=dict)
@@ -147,7 +147,7 @@
         """Drop the work of unresponsive peers."""
         self._peer_work.expire(self._clock())
 
-    def record_missing(self, upstream: Upstream, request: Need) -> None:
+    def record_missing(self, upstream: Upstream, request: DispatchRequest) -> None:
         """Record that an engine answered that it lacks a model or adapter."""
         state = self._states.get(upstream)
         if state is not None and request.model is not None:
@@ -157,7 +157,7 @@
         """Return the state of an upstream, or None if it is not listed."""
         return self._states.get(upstream)
 
-    def can_serve(self, record: UpstreamRecord, request: Need) -> bool:
+    def can_serve(self, record: UpstreamRecord, request: DispatchRequest) -> bool:
         """Return whether an upstream can run a request once it has a free slot."""
         state = self._states.get(record.name)
         if state is None or record.service != request.service:
@@ -168,25 +168,25 @@
         """Return the upstreams of a service, except those draining."""
         return self._by_service[service]
 
-    def record_start(self, upstream: Upstream, request: Need) -> None:
+    def record_start(self, upstream: Upstream, request: DispatchRequest) -> None:
         """Count a request sent to an upstream."""
         self._own_work[upstream].start(request, self._clock())
 
     def record_first_token(
-        self, upstream: Upstream, request: Need, seconds: float, unread: int
+        self, upstream: Upstream, request: DispatchRequest, seconds: float, unread: int
     ) -> None:
         """Count a first token received ``seconds`` after its request was sent.
 
         ``unread`` counts the prompt tokens pending at that upstream when the request
         was sent, its own included.
         """
-        self._own_work[upstream].prefill_tokens -= request.prompt
+        self._own_work[upstream].prefill_tokens -= request.prompt_tokens
         state = self._states.get(upstream)
         if state is not None and unread >= MIN_SAMPLE_TOKENS and seconds > 0:
             state.read_rate += READ_RATE_WEIGHT * (unread / seconds - state.read_rate)
             # Prompts of other requests distort a sample: tokens reported as pending may
             # have been processed already.
-            if unread == request.prompt >= MIN_SOLO_SAMPLE_TOKENS:
+            if unread == request.prompt_tokens >= MIN_SOLO_SAMPLE_TOKENS:
                 state.add_solo_sample(unread / seconds)
 
     def solo_read_rate(self, service: Service) -> float:
@@ -196,10 +196,10 @@
             for state in self._by_service[service]
             if state.solo_read_rate is not None
         ]
-        return median(rates) if rates else READ_RATE
+        return median(rates) if rates else DEFAULT_READ_RATE
 
     def record_finish(
-        self, upstream: Upstream, request: Need, prompt_read: bool
+        self, upstream: Upstream, request: DispatchRequest, prompt_read: bool
     ) -> None:
         """Count the end of a request at an upstream."""
         self._own_work[upstream].finish(request, prompt_read)
@@ -211,13 +211,15 @@
             + self._peer_work.totals_at(upstream).prefill_tokens
         )
 
-    def views(self, request: Need, excluded: frozenset[Upstream]) -> list[Lane]:
+    def views(
+        self, request: DispatchRequest, excluded: frozenset[Upstream]
+    ) -> list[UpstreamView]:
         """Return views of the upstreams that a request may be sent to."""
         spec = self._cfg.services.get(request.service) if self._cfg else None
         kv_tokens = spec.engine.kv_tokens if spec and spec.engine else 0
         now = self._clock()
         states = self._by_service[request.service]
-        shares = parts([state.health for state in states], now)
+        shares = traffic_shares([state.health for state in states], now)
         capable = {
             state.record.name
             for state in states
@@ -231,47 +233,49 @@
         self._restore_last_capable(views, capable)
         return views
 
-    def _restore_last_capable(self, views: list[Lane], capable: set[Upstream]) -> None:
+    def _restore_last_capable(
+        self, views: list[UpstreamView], capable: set[Upstream]
+    ) -> None:
         """Restore the full share of failing upstreams if no healthy one is capable.
 
         Some answers are better than none: all callers would be refused otherwise.
         """
         candidates = [view for view in views if view.upstream in capable]
-        if any(view.trust >= 1.0 for view in candidates):
+        if any(view.traffic_share >= 1.0 for view in candidates):
             return
         for view in candidates:
-            if self._states[view.upstream].health.reachable and not view.silent:
-                view.trust = 1.0
+            if self._states[view.upstream].health.reachable and not view.unresponsive:
+                view.traffic_share = 1.0
 
     def _view(
         self,
         state: UpstreamState,
-        request: Need,
+        request: DispatchRequest,
         kv_tokens: int,
         share: float,
         now: float,
-    ) -> Lane:
+    ) -> UpstreamView:
         name = state.record.name
         own = self._own_work[name]
         peers = self._peer_work.totals_at(name)
         model = request.model
-        unresponsive = is_silent(
+        unresponsive = is_unresponsive(
             own.requests, state.last_activity_at, own.busy_since, now
         )
-        return Lane(
+        return UpstreamView(
             upstream=name,
             zone=state.record.zone,
             slots=state.record.slots,
-            kv_tokens=kv_tokens,
+            kv_capacity=kv_tokens,
             running=own.requests + peers.requests,
-            tokens=own.tokens + peers.tokens,
+            kv_tokens=own.tokens + peers.tokens,
             unread=own.prefill_tokens + peers.prefill_tokens,
-            model_here=model is not None and state.has(model, None, now),
-            adapter_here=model is not None and state.has(model, request.adapter, now),
-            fetches=now >= state.busy_until,
+            has_model=model is not None and state.has(model, None, now),
+            has_adapter=model is not None and state.has(model, request.adapter, now),
+            loads_adapters=now >= state.busy_until,
             read_rate=state.read_rate,
-            trust=0.0 if unresponsive else share,
-            silent=unresponsive,
+            traffic_share=0.0 if unresponsive else share,
+            unresponsive=unresponsive,
         )
 
     def own_work(self) -> tuple[UpstreamWork, ...]:
--- a/src/persimmonhitch/entry/router.py
+++ b/src/persimmonhitch/entry/router.py
@@ -7,7 +7,7 @@
 
 from ..decide.outliers import OutlierDetector
 from ..decide.routing import Candidate, RouteRequest, choose
-from ..decide.waiting import FIRST_LOAD, FIRST_RESTART, MissingCopies
+from ..decide.waiting import INITIAL_LOAD_S, INITIAL_RESTART_S, LoadWaitEstimator
 from ..decide.warmup import warmup_share
 from ..ids import Model, Service, Upstream, Zone
 from ..verdict import Failure
@@ -25,8 +25,8 @@
         self._zone = zone
         self._rng = rng
         self._outliers = OutlierDetector()
-        self._models = MissingCopies(FIRST_LOAD)
-        self._services = MissingCopies(FIRST_RESTART)
+        self._models = LoadWaitEstimator(INITIAL_LOAD_S)
+        self._services = LoadWaitEstimator(INITIAL_RESTART_S)
         self._updated_at = 0.0
         self._lock = threading.Lock()
 
@@ -45,7 +45,7 @@
         group = group_of(model, service)
         with self._lock:
             if conns:
-                self._missing(service).served(group, now)
+                self._missing(service).record_served(group, now)
             self._update_outliers(now)
             candidates = [self._candidate(c, group, now) for c in by_name.values()]
             chosen = choose(candidates, RouteRequest(self._zone, cost), self._rng)
@@ -61,7 +61,7 @@
             share=share * warmup_share(conn.age_of(group, now)),
         )
 
-    def _missing(self, service: Service | None) -> MissingCopies:
+    def _missing(self, service: Service | None) -> LoadWaitEstimator:
         return self._models if service is None else self._services
 
     def no_wait(
@@ -76,7 +76,7 @@
         now, group = time.monotonic(), group_of(model, service)
         with self._lock:
             missing = self._missing(service)
-            missing.missing(group, now)
+            missing.record_missing(group, now)
             return missing.refusal(group, now, deadline_at)
 
     def _update_outliers(self, now: float) -> None:
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from ..decide.pacing import Place
+from ..decide.pacing import LoadTarget
 from ..decide.placement import Move
 from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..entry.directory import SidecarInfo
@@ -100,7 +100,7 @@
             order.done = True
         return order
 
-    def ordered(self) -> set[Place]:
+    def ordered(self) -> set[LoadTarget]:
         """Return the places with an order whose end is not known yet."""
         return {
             (order.move.model, upstream)
--- a/src/persimmonhitch/planner/round.py
+++ b/src/persimmonhitch/planner/round.py
@@ -4,7 +4,7 @@
 
 from ..catalog.model import Catalog
 from ..decide.copy_count import CopyCounts
-from ..decide.pacing import LoadPacer, Place, RetryDelay
+from ..decide.pacing import LoadPacer, LoadTarget, RetryBackoff
 from ..decide.placement import Move, Reason, make_plan
 from ..decide.targets import CopyPhase, ModelRequirement, PlacementTarget
 from ..ids import Model
@@ -25,7 +25,7 @@
 
     speed: float
     pacer: LoadPacer
-    retry: RetryDelay = field(default_factory=RetryDelay)
+    retry: RetryBackoff = field(default_factory=RetryBackoff)
 
     def __post_init__(self) -> None:
         self.counts = CopyCounts(self.speed)
@@ -56,13 +56,13 @@
         self,
         needs: dict[Model, ModelRequirement],
         sites: list[PlacementTarget],
-        ordered: set[Place],
+        ordered: set[LoadTarget],
         now: float,
     ) -> list[Move]:
         """Return the moves to order now; places with an open order are left out."""
         planned = make_plan(needs, sites, self.speed)
         self._tell_stuck(planned.unplaced)
-        blocked = self.retry.blocked(now) | ordered
+        blocked = self.retry.blocked_targets(now) | ordered
         chosen = [
             move
             for move in (*planned.moves, *_unfinished(needs, sites))
--- a/tests/test_decide_direct.py
+++ b/tests/test_decide_direct.py
@@ -4,51 +4,56 @@
 
 import pytest
 
-from persimmonhitch.decide.bursts import AT_ONCE, LoadRate
-from persimmonhitch.decide.demand import Demand
-from persimmonhitch.decide.dispatch import Lane, Need, Step, choose
-from persimmonhitch.decide.patience import give_up_at, load_limit, refusal
-from persimmonhitch.decide.trust import (
-    FAILURES,
-    OUT_FIRST,
-    RETURN_SECONDS,
-    SILENT,
-    Trust,
-    is_silent,
-    parts,
+from persimmonhitch.decide.demand import DemandTracker
+from persimmonhitch.decide.dispatch import (
+    DispatchRequest,
+    Step,
+    UpstreamView,
+    choose_upstream,
 )
+from persimmonhitch.decide.health import (
+    EJECT_AFTER_FAILURES,
+    MIN_EJECT_S,
+    RAMP_UP_S,
+    UNRESPONSIVE_AFTER_S,
+    UpstreamHealth,
+    is_unresponsive,
+    traffic_shares,
+)
+from persimmonhitch.decide.load_rate import MAX_SAVED_LOADS, LoadRateLimiter
+from persimmonhitch.decide.wait_limits import load_wait_deadline, refusal, wait_deadline
 from persimmonhitch.ids import Adapter, Model, Service, Upstream, Vm, Zone
 
 Z1, Z2 = Zone("z1"), Zone("z2")
 M1 = Model("m1")
 
 
-def need(model=M1, adapter=None, prompt=1000, tokens=1100, event_by=5.0):
-    return Need(
+def request(model=M1, adapter=None, prompt=1000, tokens=1100, event_by=5.0):
+    return DispatchRequest(
         service=Service("llm"),
         model=model,
         adapter=adapter,
-        prompt=prompt,
-        tokens=tokens,
+        prompt_tokens=prompt,
+        kv_tokens=tokens,
         rank=1,
         arrived=0.0,
-        aim_at=1.0,
-        event_by=event_by,
+        latency_target_at=1.0,
+        first_event_by=event_by,
         deadline_at=5.0,
     )
 
 
-def lane(name="e1", zone=Z1, **more):
+def view(name="e1", zone=Z1, **overrides):
     values = {
         "slots": 4,
-        "kv_tokens": 10_000,
+        "kv_capacity": 10_000,
         "running": 0,
-        "tokens": 0,
+        "kv_tokens": 0,
         "unread": 0,
-        "model_here": True,
-        "adapter_here": True,
+        "has_model": True,
+        "has_adapter": True,
     }
-    return Lane(Upstream(name), zone, **{**values, **more})
+    return UpstreamView(Upstream(name), zone, **{**values, **overrides})
 
 
 DRAWS, LIKELIEST = 1000, 0.8
@@ -56,184 +61,192 @@
 
 
 @pytest.mark.parametrize(
-    ("lanes", "wanted", "step", "upstream"),
+    ("views", "dispatch_request", "step", "upstream"),
     [
-        ([], need(), Step.NONE, None),
-        ([lane()], need(), Step.SEND, "e1"),
-        ([lane(model_here=False)], need(), Step.LOAD, None),
-        ([lane(running=4)], need(), Step.WAIT, None),
-        ([lane(running=1, tokens=9000)], need(), Step.WAIT, None),
-        ([lane(trust=0.0)], need(), Step.WAIT, None),
-        ([lane(unread=20_000), lane("e2")], need(), Step.SEND, "e2"),
-        ([lane(zone=Z2), lane("e2")], need(), Step.SEND, "e2"),
-        ([lane(unread=4000), lane("e2", Z2)], need(), Step.SEND, "e2"),
-        ([lane(adapter_here=False)], need(adapter="a"), Step.FETCH, "e1"),
+        ([], request(), Step.NO_UPSTREAM, None),
+        ([view()], request(), Step.SEND, "e1"),
+        ([view(has_model=False)], request(), Step.LOAD, None),
+        ([view(running=4)], request(), Step.WAIT, None),
+        ([view(running=1, kv_tokens=9000)], request(), Step.WAIT, None),
+        ([view(traffic_share=0.0)], request(), Step.WAIT, None),
+        ([view(unread=20_000), view("e2")], request(), Step.SEND, "e2"),
+        ([view(zone=Z2), view("e2")], request(), Step.SEND, "e2"),
+        ([view(unread=4000), view("e2", Z2)], request(), Step.SEND, "e2"),
+        ([view(has_adapter=False)], request(adapter="a"), Step.LOAD_ADAPTER, "e1"),
         (
-            [lane(adapter_here=False), lane("e2", unread=500)],
-            need(adapter=Adapter("a")),
+            [view(has_adapter=False), view("e2", unread=500)],
+            request(adapter=Adapter("a")),
             Step.SEND,
             "e2",
         ),
         (
-            [lane(adapter_here=False), lane("e2", unread=5000)],
-            need(adapter=Adapter("a")),
-            Step.FETCH,
+            [view(has_adapter=False), view("e2", unread=5000)],
+            request(adapter=Adapter("a")),
+            Step.LOAD_ADAPTER,
             "e1",
         ),
         (
-            [lane(adapter_here=False, fetches=False)],
-            need(adapter=Adapter("a")),
-            Step.WAIT_TO_FETCH,
+            [view(has_adapter=False, loads_adapters=False)],
+            request(adapter=Adapter("a")),
+            Step.WAIT_FOR_MODEL,
             None,
         ),
         (
-            [lane(adapter_here=False, fetches=False), lane("e2", trust=0.0)],
-            need(adapter=Adapter("a")),
+            [
+                view(has_adapter=False, loads_adapters=False),
+                view("e2", traffic_share=0.0),
+            ],
+            request(adapter=Adapter("a")),
             Step.WAIT,
             None,
         ),
     ],
 )
-def test_where_a_call_goes(lanes, wanted, step, upstream):
+def test_choose_upstream(views, dispatch_request, step, upstream):
     choices = Counter(
-        choose(lanes, wanted, Z1, lambda drawn=drawn: drawn / DRAWS)
-        for drawn in range(DRAWS)
+        choose_upstream(
+            views, dispatch_request, Z1, lambda sample=sample: sample / DRAWS
+        )
+        for sample in range(DRAWS)
     )
     assert {choice.step for choice in choices} == {step}
     (likeliest, count), *_ = choices.most_common()
     assert likeliest.upstream == upstream
     assert count >= DRAWS * LIKELIEST
     # Only engines that differ in nothing but their wait share the calls.
-    taken = {choice.upstream for choice in choices}
-    shared = [ln for ln in lanes if ln.upstream in taken]
-    assert len({(ln.zone == Z1, ln.adapter_here) for ln in shared}) <= 1
+    chosen = {choice.upstream for choice in choices}
+    shared = [v for v in views if v.upstream in chosen]
+    assert len({(v.zone == Z1, v.has_adapter) for v in shared}) <= 1
 
 
-def test_a_request_larger_than_what_is_left_goes_to_an_empty_engine():
+def test_oversized_request_goes_to_an_idle_engine():
     """Alone it fits anywhere; an engine that is too small for it refuses it itself."""
-    assert choose([lane(kv_tokens=500)], need(), Z1).step is Step.SEND
+    assert choose_upstream([view(kv_capacity=500)], request(), Z1).step is Step.SEND
 
 
 # -- failing upstreams -------------------------------------------------------------
 
 
-def test_a_refused_connection_takes_an_upstream_out_at_once():
-    trust = Trust()
-    assert trust.part(0.0) == 1.0
-    assert trust.unreachable(0.0)
-    assert trust.part(OUT_FIRST / 2) == 0.0
+def test_refused_connection_ejects_an_upstream_at_once():
+    health = UpstreamHealth()
+    assert health.traffic_share(0.0) == 1.0
+    assert health.unreachable(0.0)
+    assert health.traffic_share(MIN_EJECT_S / 2) == 0.0
 
 
-def test_one_that_fails_now_and_then_stays():
+def test_upstream_with_rare_failures_is_not_ejected():
     """One answer in ten fails, by chance as at all others: ejecting it would leave the
     others with more than they can take.
     """
-    trust = Trust()
-    for number in range(100):
-        trust.failed(0.0) if number % 10 == 0 else trust.ok(0.0)
-    assert trust.part(0.0) == 1.0
+    health = UpstreamHealth()
+    for n in range(100):
+        health.failed(0.0) if n % 10 == 0 else health.succeeded(0.0)
+    assert health.traffic_share(0.0) == 1.0
 
 
-def test_one_that_fails_half_of_its_calls_goes():
+def test_upstream_that_fails_half_of_its_requests_is_ejected():
     """An upstream fails every second request while its health check is good."""
-    trust = Trust()
-    outs = [trust.failed(0.0) if n % 2 else trust.ok(0.0) for n in range(2 * FAILURES)]
-    assert any(outs)
-    assert trust.part(0.1) == 0.0
+    health = UpstreamHealth()
+    ejections = [
+        health.failed(0.0) if n % 2 else health.succeeded(0.0)
+        for n in range(2 * EJECT_AFTER_FAILURES)
+    ]
+    assert any(ejections)
+    assert health.traffic_share(0.1) == 0.0
 
 
-def test_the_way_back_is_one_call_at_a_time():
+def test_ejected_upstream_returns_with_one_request_at_a_time():
     """It was down and is back. All entries at once would send it what they have; each
     sends one call, and more only once that one was answered.
     """
-    trust = Trust()
-    trust.unreachable(0.0)
-    back = OUT_FIRST + 0.1
-    assert 0 < trust.part(back) * 64 < 1
-    assert 0 < trust.part(back + 10) * 64 < 1
-    trust.ok(back)
-    assert trust.part(back + RETURN_SECONDS / 2) == pytest.approx(0.5)
-    assert trust.part(back + RETURN_SECONDS) == 1.0
+    health = UpstreamHealth()
+    health.unreachable(0.0)
+    returned_at = MIN_EJECT_S + 0.1
+    assert 0 < health.traffic_share(returned_at) * 64 < 1
+    assert 0 < health.traffic_share(returned_at + 10) * 64 < 1
+    health.succeeded(returned_at)
+    assert health.traffic_share(returned_at + RAMP_UP_S / 2) == pytest.approx(0.5)
+    assert health.traffic_share(returned_at + RAMP_UP_S) == 1.0
 
 
-def test_a_failure_that_all_share_takes_nobody_out():
+def test_failure_of_all_upstreams_ejects_none():
     """All engines fail every second request for some seconds. Taken out one after the
     other, none would be left, and all calls would be refused for longer than the
     failure lasts; callers saw ten seconds of refusals.
     """
-    trusts = [Trust() for _ in range(6)]
-    for trust in trusts:
-        for _ in range(FAILURES):
-            trust.failed(0.0)
-    assert parts(trusts, 0.1) == [1.0] * 6
+    upstreams = [UpstreamHealth() for _ in range(6)]
+    for health in upstreams:
+        for _ in range(EJECT_AFTER_FAILURES):
+            health.failed(0.0)
+    assert traffic_shares(upstreams, 0.1) == [1.0] * 6
 
 
-def test_a_failure_of_a_few_takes_them_out():
-    trusts = [Trust() for _ in range(6)]
-    for trust in trusts[:2]:
-        for _ in range(FAILURES):
-            trust.failed(0.0)
-    assert parts(trusts, 0.1) == [0.0, 0.0, 1.0, 1.0, 1.0, 1.0]
+def test_failure_of_few_upstreams_ejects_them():
+    upstreams = [UpstreamHealth() for _ in range(6)]
+    for health in upstreams[:2]:
+        for _ in range(EJECT_AFTER_FAILURES):
+            health.failed(0.0)
+    assert traffic_shares(upstreams, 0.1) == [0.0, 0.0, 1.0, 1.0, 1.0, 1.0]
 
 
-def test_what_cannot_be_reached_is_out_however_many_there_are():
-    trusts = [Trust() for _ in range(3)]
-    for trust in trusts:
-        trust.unreachable(0.0)
-    assert parts(trusts, 0.1) == [0.0, 0.0, 0.0]
+def test_unreachable_upstreams_are_always_ejected():
+    upstreams = [UpstreamHealth() for _ in range(3)]
+    for health in upstreams:
+        health.unreachable(0.0)
+    assert traffic_shares(upstreams, 0.1) == [0.0, 0.0, 0.0]
 
 
-def test_one_that_fails_again_stays_out_longer():
-    trust = Trust()
-    trust.unreachable(0.0)
-    trust.unreachable(OUT_FIRST)
-    assert trust.part(OUT_FIRST * 2.5) == 0.0
+def test_repeated_failure_lengthens_the_ejection():
+    health = UpstreamHealth()
+    health.unreachable(0.0)
+    health.unreachable(MIN_EJECT_S)
+    assert health.traffic_share(MIN_EJECT_S * 2.5) == 0.0
 
 
 @pytest.mark.parametrize(
-    ("running", "heard", "idle_until", "now", "silent"),
+    ("running", "output_at", "idle_at", "now", "unresponsive"),
     [
         (0, 0.0, 0.0, 100.0, False),
         (1, 0.0, 99.9, 100.0, False),
         (1, 99.9, 0.0, 100.0, False),
-        (1, 0.0, 100.0 - SILENT * 1.1, 100.0, True),
+        (1, 0.0, 100.0 - UNRESPONSIVE_AFTER_S * 1.1, 100.0, True),
     ],
 )
-def test_silence(running, heard, idle_until, now, silent):
+def test_unresponsive_upstream(running, output_at, idle_at, now, unresponsive):
     """An engine's VM loses power. No connection is refused, and each call sent there
     is lost only when its caller gives up, seconds later.
     """
-    assert is_silent(running, heard, idle_until, now) is silent
+    assert is_unresponsive(running, output_at, idle_at, now) is unresponsive
 
 
 # -- waiting -----------------------------------------------------------------------
 
 
-def test_a_call_waits_no_longer_than_its_aim():
-    assert give_up_at(need()) == pytest.approx(0.9)
-    assert load_limit(need()) == pytest.approx(3.0)
+def test_request_waits_within_its_latency_target():
+    assert wait_deadline(request()) == pytest.approx(0.9)
+    assert load_wait_deadline(request()) == pytest.approx(3.0)
 
 
-def test_no_call_waits_for_a_load_until_its_caller_leaves():
+def test_load_wait_ends_before_the_caller_disconnects():
     """A caller leaves a stream of which nothing has come after two seconds, though its
     deadline is five. Its model is ready after two and a half: it is to be told so at
     once, while it can still come back.
     """
-    assert load_limit(need(event_by=2.0)) == pytest.approx(1.6)
+    assert load_wait_deadline(request(event_by=2.0)) == pytest.approx(1.6)
 
 
-def test_those_refused_together_do_not_come_back_together():
-    times = {refusal(Step.WAIT, need()).retry_after for _ in range(50)}
-    assert len(times) > 40
-    assert max(times) / min(times) > 1.2
+def test_retry_times_are_spread():
+    retry_times = {refusal(Step.WAIT, request()).retry_after for _ in range(50)}
+    assert len(retry_times) > 40
+    assert max(retry_times) / min(retry_times) > 1.2
 
 
-def test_callers_are_told_what_is_known_of_a_load():
+def test_refusal_names_the_load_time_only_if_known():
     """Nobody has begun to load a model. Told that it is ready in half a second, callers
     come back to be refused again, and whoever looks for the cause looks for a load.
     """
-    unknown = refusal(Step.LOAD, need())
-    known = refusal(Step.LOAD, need(), 2.0)
+    unknown = refusal(Step.LOAD, request())
+    known = refusal(Step.LOAD, request(), 2.0)
     assert "ready in" not in unknown.message
     assert "ready in 2.0 s" in known.message
     assert 2.0 <= known.retry_after <= 3.0
@@ -242,27 +255,27 @@
 # -- loads and demand -----------------------------------------------------------
 
 
-def test_the_weight_store_s_rate_holds():
+def test_loads_stay_within_the_weight_store_rate():
     """All engines are to load at once from the weight store, which then serves each
     several times as slowly.
     """
-    rate = LoadRate()
-    began = 0
+    limiter = LoadRateLimiter()
+    started = 0
     for step in range(500):
         now = step * 0.01
-        if rate.allowed(1.5, now):
-            rate.take(1.5, now)
-            began += 1
-    assert began <= 5 * 1.5 + AT_ONCE
-    assert began >= 7
+        if limiter.may_start(1.5, now):
+            limiter.record_start(1.5, now)
+            started += 1
+    assert started <= 5 * 1.5 + MAX_SAVED_LOADS
+    assert started >= 7
 
 
-def test_demand_rises_within_seconds_and_is_kept_for_a_while():
-    demand, total = Demand(), 0.0
+def test_demand_rises_fast_and_decays_slowly():
+    demand, total = DemandTracker(), 0.0
     demand.rates(0.0)
     for step in range(1, 31):
         total += 1000.0
-        demand.hear(Vm("e1"), {M1: total}, step * 0.1)
+        demand.receive(Vm("e1"), {M1: total}, step * 0.1)
         rate = demand.rates(step * 0.1)[M1]
     assert rate > 7000
     for step in range(31, 131):
@@ -270,11 +283,11 @@
     assert 200 < rate < 2000
 
 
-def test_an_entry_that_starts_anew_counts_from_zero():
-    demand = Demand()
+def test_totals_of_a_restarted_entry_count_from_zero():
+    demand = DemandTracker()
     demand.rates(0.0)
-    demand.hear(Vm("e1"), {M1: 90_000.0}, 0.1)
+    demand.receive(Vm("e1"), {M1: 90_000.0}, 0.1)
     demand.rates(1.0)
     before = demand.rates(2.0)[M1]
-    demand.hear(Vm("e1"), {M1: 10.0}, 2.1)
+    demand.receive(Vm("e1"), {M1: 10.0}, 2.1)
     assert demand.rates(3.0)[M1] <= before
--- a/tests/test_decide_herd.py
+++ b/tests/test_decide_herd.py
@@ -6,15 +6,20 @@
 
 import pytest
 
-from persimmonhitch.decide.dispatch import Lane, Need, Step, choose
+from persimmonhitch.decide.dispatch import (
+    DispatchRequest,
+    Step,
+    UpstreamView,
+    choose_upstream,
+)
 from persimmonhitch.ids import Model, Service, Upstream, Zone
 
 LLM, MODEL = Service("llm"), Model("m")
 ENTRIES, ENGINES, ZONES = 68, 39, 6
-PROMPT, RATE, SPEED = 2368, 250.0, 25_800.0
-NEWS_EVERY = 0.2
-SECONDS, JOINS_AT, WARM = 12.0, 6.0, 3.0
-AIM = 0.6
+PROMPT, REQUEST_RATE, READ_RATE = 2368, 250.0, 25_800.0
+INTERVAL_S = 0.2
+DURATION_S, JOIN_AT_S, WARM_UP_S = 12.0, 6.0, 3.0
+LATENCY_TARGET_S = 0.6
 
 
 @dataclass
@@ -29,75 +34,88 @@
 class Fleet:
     """Entries that know their own calls at once and all others' by late news."""
 
-    def __init__(self, late, seed):
-        self._late = late
+    def __init__(self, delay_s, seed):
+        self._delay_s = delay_s
         self._rng = random.Random(seed)
         self._engines = [Engine(Zone(f"z{n % ZONES}")) for n in range(ENGINES)]
-        self._own = [[deque() for _ in range(ENGINES + 1)] for _ in range(ENTRIES)]
-        self._told = [[0] * (ENGINES + 1) for _ in range(ENTRIES)]
+        self._sent = [[deque() for _ in range(ENGINES + 1)] for _ in range(ENTRIES)]
+        self._reported = [[0] * (ENGINES + 1) for _ in range(ENTRIES)]
         self._sums = [0] * (ENGINES + 1)
-        self._on_way = deque()
-        self._news_at = [self._rng.random() * NEWS_EVERY for _ in range(ENTRIES)]
+        self._in_transit = deque()
+        self._update_at = [self._rng.random() * INTERVAL_S for _ in range(ENTRIES)]
 
-    def play(self):
+    def run(self):
         """Return the seconds from a call to its first token, for each engine."""
         now = 0.0
-        while now < SECONDS:
-            now += self._rng.expovariate(RATE)
-            if now >= JOINS_AT and len(self._engines) == ENGINES:
+        while now < DURATION_S:
+            now += self._rng.expovariate(REQUEST_RATE)
+            if now >= JOIN_AT_S and len(self._engines) == ENGINES:
                 self._engines.append(Engine(Zone("z0")))
-            self._news(now)
-            self._call(self._rng.randrange(ENTRIES), now)
+            self._exchange_updates(now)
+            self._dispatch(self._rng.randrange(ENTRIES), now)
         return [engine.waits for engine in self._engines]
 
-    def _call(self, entry, now):
+    def _dispatch(self, entry, now):
         zone = Zone(f"z{entry % ZONES}")
-        need = Need(LLM, MODEL, None, PROMPT, 0, 1, now, now + AIM, now + 5, now + 5)
-        lanes = [self._lane(entry, n, now) for n in range(len(self._engines))]
-        choice = choose(lanes, need, zone, self._rng.random)
+        request = DispatchRequest(
+            LLM,
+            MODEL,
+            None,
+            PROMPT,
+            0,
+            1,
+            now,
+            now + LATENCY_TARGET_S,
+            now + 5,
+            now + 5,
+        )
+        views = [self._view(entry, n, now) for n in range(len(self._engines))]
+        choice = choose_upstream(views, request, zone, self._rng.random)
         assert choice.step is Step.SEND
         number = int(choice.upstream)
         engine = self._engines[number]
-        engine.free_at = max(now, engine.free_at) + PROMPT / SPEED
-        self._own[entry][number].append(engine.free_at)
-        if now >= WARM:
+        engine.free_at = max(now, engine.free_at) + PROMPT / READ_RATE
+        self._sent[entry][number].append(engine.free_at)
+        if now >= WARM_UP_S:
             engine.waits.append(engine.free_at - now)
 
     def _unread(self, entry, number, now):
-        own = self._own[entry][number]
-        while own and own[0] <= now:
-            own.popleft()
-        return len(own) * PROMPT
+        sent = self._sent[entry][number]
+        while sent and sent[0] <= now:
+            sent.popleft()
+        return len(sent) * PROMPT
 
-    def _lane(self, entry, number, now):
-        others = self._sums[number] - self._told[entry][number]
+    def _view(self, entry, number, now):
+        others = self._sums[number] - self._reported[entry][number]
         unread = self._unread(entry, number, now) + others
         zone = self._engines[number].zone
         name = Upstream(str(number))
-        return Lane(name, zone, 64, 0, 0, 0, unread, True, True, read_rate=SPEED)
+        return UpstreamView(
+            name, zone, 64, 0, 0, 0, unread, True, True, read_rate=READ_RATE
+        )
 
-    def _news(self, now):
-        for entry, at in enumerate(self._news_at):
+    def _exchange_updates(self, now):
+        for entry, at in enumerate(self._update_at):
             if at <= now:
-                self._news_at[entry] = at + NEWS_EVERY
-                known = range(len(self._engines))
-                told = [self._unread(entry, number, now) for number in known]
-                self._on_way.append((now + self._late, entry, told))
-        while self._on_way and self._on_way[0][0] <= now:
-            _, entry, told = self._on_way.popleft()
-            for number, unread in enumerate(told):
-                self._sums[number] += unread - self._told[entry][number]
-                self._told[entry][number] = unread
+                self._update_at[entry] = at + INTERVAL_S
+                engines = range(len(self._engines))
+                reported = [self._unread(entry, number, now) for number in engines]
+                self._in_transit.append((now + self._delay_s, entry, reported))
+        while self._in_transit and self._in_transit[0][0] <= now:
+            _, entry, reported = self._in_transit.popleft()
+            for number, unread in enumerate(reported):
+                self._sums[number] += unread - self._reported[entry][number]
+                self._reported[entry][number] = unread
 
 
-def _late_part(waits):
-    return sum(wait > AIM for wait in waits) / len(waits)
+def _late_share(waits):
+    return sum(wait > LATENCY_TARGET_S for wait in waits) / len(waits)
 
 
-@pytest.mark.parametrize("late", [0.1, 0.3])
-def test_entries_do_not_all_choose_the_same_engine(late):
+@pytest.mark.parametrize("delay_s", [0.1, 0.3])
+def test_entries_spread_requests_despite_late_updates(delay_s):
     """All that look at the same news would find the same engine the soonest."""
-    waits = Fleet(late, 1).play()
-    assert _late_part([w for found in waits for w in found]) <= 0.02
+    waits = Fleet(delay_s, 1).run()
+    assert _late_share([w for engine_waits in waits for w in engine_waits]) <= 0.02
     # The one that joined empty; taken for the best by all, it gets all of the calls.
-    assert _late_part(waits[ENGINES]) <= 0.05
+    assert _late_share(waits[ENGINES]) <= 0.05
--- a/tests/test_decide_overlay.py
+++ b/tests/test_decide_overlay.py
@@ -2,7 +2,12 @@
 
 import pytest
 
-from persimmonhitch.decide.overlay import SILENT, Member, Overlay, Way
+from persimmonhitch.decide.overlay import (
+    UNRESPONSIVE_AFTER_S,
+    Member,
+    Overlay,
+    RelayDirection,
+)
 from persimmonhitch.ids import Vm, Zone
 
 Z1, Z2 = Zone("z1"), Zone("z2")
@@ -13,11 +18,11 @@
     return [Member(Vm(name), zone, cores) for name in names]
 
 
-def overlay(me, others, now=0.0):
-    made = Overlay(me)
-    made.update(others)
-    made.routes(now)
-    return made
+def overlay(local, others, now=0.0):
+    node = Overlay(local)
+    node.update(others)
+    node.routes(now)
+    return node
 
 
 def test_the_vm_with_most_processor_time_is_the_parent():
@@ -28,84 +33,87 @@
 
 
 def test_all_entries_of_a_zone_agree_on_the_parent():
-    found = members(*"abcdefgh")
+    zone_members = members(*"abcdefgh")
     roots = [
-        made.routes(0.0).parent
-        for me in found
-        for made in [overlay(me, [m for m in found if m != me])]
+        node.routes(0.0).parent
+        for local in zone_members
+        for node in [overlay(local, [m for m in zone_members if m != local])]
     ]
     assert roots.count(None) == 1
     assert len(set(roots)) == 2
 
 
-def test_only_an_entry_without_a_parent_tells_other_zones():
-    near, far = members("a", "b", "c"), members("x", "y", zone=Z2)
-    for me in near:
-        routes = overlay(me, [m for m in near + far if m != me]).routes(0.0)
-        assert bool(routes.across) is (routes.parent is None)
+def test_only_roots_send_to_other_zones():
+    own_zone, other_zone = members("a", "b", "c"), members("x", "y", zone=Z2)
+    for local in own_zone:
+        routes = overlay(
+            local, [m for m in own_zone + other_zone if m != local]
+        ).routes(0.0)
+        assert bool(routes.roots) is (routes.parent is None)
 
 
 @pytest.mark.parametrize(
-    ("heard_at", "followed"), [(None, False), (0.2, False), (SILENT, True)]
+    ("received_at", "is_parent"),
+    [(None, False), (0.2, False), (UNRESPONSIVE_AFTER_S, True)],
 )
-def test_a_silent_parent_is_passed_over_until_it_speaks(heard_at, followed):
+def test_unresponsive_parent_is_skipped_until_it_sends(received_at, is_parent):
     """Guards against a zone that hears nothing while its parent is frozen."""
-    first, *rest = sorted(members("a", "b", "c"), key=_is_first)
-    made = overlay(rest[1], [first, rest[0]])
-    if heard_at is not None:
-        made.heard(first.vm, Way.DOWN, heard_at)
-    routes = made.routes(SILENT + 0.25)
-    assert (routes.parent == first.vm) is followed
-    assert (first.vm in routes.probes) is not followed
-    made.heard(first.vm, Way.DOWN, 5.0)
-    assert made.routes(5.1).parent == first.vm
-
-
-def _is_first(member):
+    first, *rest = sorted(members("a", "b", "c"), key=_has_parent)
+    node = overlay(rest[1], [first, rest[0]])
+    if received_at is not None:
+        node.record_message(first.vm, RelayDirection.DOWN, received_at)
+    routes = node.routes(UNRESPONSIVE_AFTER_S + 0.25)
+    assert (routes.parent == first.vm) is is_parent
+    assert (first.vm in routes.probes) is not is_parent
+    node.record_message(first.vm, RelayDirection.DOWN, 5.0)
+    assert node.routes(5.1).parent == first.vm
+
+
+def _has_parent(member):
     others = [m for m in members("a", "b", "c") if m != member]
     routes = overlay(member, others).routes(0.0)
     return routes.parent is not None
 
 
-def test_a_silent_entry_of_another_zone_is_passed_over():
-    made = overlay(members("a")[0], members("x", "y", zone=Z2))
-    (first,) = made.routes(0.0).across
-    (second,) = made.routes(SILENT + 0.1).across
+def test_unresponsive_root_of_another_zone_is_skipped():
+    node = overlay(members("a")[0], members("x", "y", zone=Z2))
+    (first,) = node.routes(0.0).roots
+    (second,) = node.routes(UNRESPONSIVE_AFTER_S + 0.1).roots
     assert {first, second} == {"x", "y"}
 
 
-def test_whoever_tells_as_a_child_or_across_is_told_in_turn():
+def test_senders_receive_updates_in_return():
     """Two entries that disagree on who is alive would lose each other's news."""
-    made = overlay(members("a")[0], members("x", "y", zone=Z2))
-    made.heard(Vm("unlisted"), Way.UP, 0.0)
-    made.heard(Vm("x"), Way.ACROSS, 0.0)
-    made.heard(Vm("y"), Way.ACROSS, 0.0)
-    routes = made.routes(0.1)
+    node = overlay(members("a")[0], members("x", "y", zone=Z2))
+    node.record_message(Vm("unlisted"), RelayDirection.UP, 0.0)
+    node.record_message(Vm("x"), RelayDirection.BETWEEN_ROOTS, 0.0)
+    node.record_message(Vm("y"), RelayDirection.BETWEEN_ROOTS, 0.0)
+    routes = node.routes(0.1)
     assert routes.children == {"unlisted"}
-    assert routes.across == {"x", "y"}
-    assert not made.routes(60.0).children
+    assert routes.roots == {"x", "y"}
+    assert not node.routes(60.0).children
 
 
-def test_one_entry_of_the_fleet_leads():
+def test_one_entry_of_the_fleet_is_first():
     """Each zone's parent would watch the store for itself."""
     zones = [members(f"{zone}1", f"{zone}2", zone=Zone(zone)) for zone in "abc"]
-    every = [member for found in zones for member in found]
-    made = [overlay(me, [m for m in every if m != me]) for me in every]
-    roots = [one for one in made if one.routes(0.0).parent is None]
-    for one in roots:
+    fleet = [member for group in zones for member in group]
+    nodes = [overlay(local, [m for m in fleet if m != local]) for local in fleet]
+    roots = [node for node in nodes if node.routes(0.0).parent is None]
+    for node in roots:
         for other in roots:
-            if other is not one:
-                one.heard(other.me.vm, Way.ACROSS, 0.0)
-    assert sum(one.routes(0.1).leads for one in made) == 1
-    assert sorted(one.place() for one in made) == list(range(len(every)))
+            if other is not node:
+                node.record_message(other.local.vm, RelayDirection.BETWEEN_ROOTS, 0.0)
+    assert sum(node.routes(0.1).is_first for node in nodes) == 1
+    assert sorted(node.rank() for node in nodes) == list(range(len(fleet)))
 
 
-def test_an_entry_leads_once_those_before_it_are_silent():
-    every = [*members("a", zone=Z1), *members("b", zone=Z2)]
+def test_entry_is_first_once_those_before_it_are_unresponsive():
+    fleet = [*members("a", zone=Z1), *members("b", zone=Z2)]
     first, second = sorted(
-        every, key=lambda me: overlay(me, [m for m in every if m != me]).place()
+        fleet, key=lambda local: overlay(local, [m for m in fleet if m != local]).rank()
     )
-    made = overlay(second, [first])
-    made.heard(first.vm, Way.ACROSS, 0.0)
-    assert not made.routes(0.1).leads
-    assert made.routes(SILENT + 0.2).leads
+    node = overlay(second, [first])
+    node.record_message(first.vm, RelayDirection.BETWEEN_ROOTS, 0.0)
+    assert not node.routes(0.1).is_first
+    assert node.routes(UNRESPONSIVE_AFTER_S + 0.2).is_first
--- a/tests/test_decide_poison.py
+++ b/tests/test_decide_poison.py
@@ -3,35 +3,35 @@
 import pytest
 
 from persimmonhitch.decide.poison import (
-    BLOCKED_LIFE,
-    CLAIM_LIFE,
-    CRASHES,
-    MOST_BLOCKED,
-    MOST_CRASHES,
-    MOST_LOST,
-    SETTLED,
+    BLOCK_CRASHES,
+    BLOCK_TTL_S,
+    MAX_BLOCKED,
+    MAX_CRASHES,
+    MAX_LOST,
+    SETTLE_S,
+    UNCONFIRMED_TTL_S,
     CrashHistory,
-    UpstreamStart,
+    UpstreamInstance,
 )
 from persimmonhitch.ids import Fingerprint, Upstream
 
 BAD, GOOD, OTHER = Fingerprint("bad"), Fingerprint("good"), Fingerprint("other")
 
 
-LATER = SETTLED + 0.01
+AFTER_SETTLE_S = SETTLE_S + 0.01
 
 
-def start(number):
-    return UpstreamStart(Upstream(f"u{number}"), 1)
+def instance(number):
+    return UpstreamInstance(Upstream(f"u{number}"), 1)
 
 
 def history_of(*crashes, confirmed=True):
     """Return a history of crashes one second apart from 1 s on."""
     history = CrashHistory()
-    for number, calls in enumerate(crashes, 1):
-        history.lost(start(number), calls, float(number), float(number))
+    for number, lost in enumerate(crashes, 1):
+        history.record_lost(instance(number), lost, float(number), float(number))
         if confirmed:
-            history.confirm(start(number))
+            history.confirm(instance(number))
     return history
 
 
@@ -58,72 +58,76 @@
         ),
     ],
 )
-def test_who_is_to_blame(crashes, blocked):
+def test_crash_attribution(crashes, blocked):
     history = history_of(*crashes)
-    assert history.judge(len(crashes) + LATER) == blocked
-    for call in blocked:
-        left = history.blocked_for(call, len(crashes) + LATER)
-        assert left == pytest.approx(BLOCKED_LIFE)
+    assert history.block_attributed(len(crashes) + AFTER_SETTLE_S) == blocked
+    for fingerprint in blocked:
+        left = history.blocked_for(fingerprint, len(crashes) + AFTER_SETTLE_S)
+        assert left == pytest.approx(BLOCK_TTL_S)
 
 
-def test_nobody_is_judged_before_all_have_told_what_they_lost():
+def test_no_request_is_blocked_before_all_entries_reported():
     """Guards against blame for a call that seems to have been there alone."""
-    history = history_of(*[{GOOD: True}] * CRASHES)
-    assert history.judge(CRASHES + SETTLED / 2) == []
-    assert history.waits_for_proof(GOOD, CRASHES + SETTLED / 2)
-    history.lost(start(CRASHES), {BAD: True}, float(CRASHES), float(CRASHES))
-    assert history.judge(CRASHES + LATER) == [GOOD]
+    history = history_of(*[{GOOD: True}] * BLOCK_CRASHES)
+    assert history.block_attributed(BLOCK_CRASHES + SETTLE_S / 2) == []
+    assert history.awaits_confirmation(GOOD, BLOCK_CRASHES + SETTLE_S / 2)
+    history.record_lost(
+        instance(BLOCK_CRASHES), {BAD: True}, float(BLOCK_CRASHES), float(BLOCK_CRASHES)
+    )
+    assert history.block_attributed(BLOCK_CRASHES + AFTER_SETTLE_S) == [GOOD]
 
 
-def test_a_crash_that_nobody_confirms_blocks_nothing():
+def test_unconfirmed_crashes_block_nothing():
     """Guards against blame for a call whose connections were cut."""
-    history = history_of(*[{GOOD: True}] * CRASHES, confirmed=False)
-    assert history.judge(CRASHES + LATER) == []
-    history.expire(CRASHES + CLAIM_LIFE + 0.1)
-    assert history.blame(GOOD) is None
+    history = history_of(*[{GOOD: True}] * BLOCK_CRASHES, confirmed=False)
+    assert history.block_attributed(BLOCK_CRASHES + AFTER_SETTLE_S) == []
+    history.expire(BLOCK_CRASHES + UNCONFIRMED_TTL_S + 0.1)
+    assert history.crash_counts(GOOD) is None
 
 
-def test_an_upstream_that_answers_has_not_crashed():
+def test_answer_of_an_upstream_refutes_its_crash():
     """Guards against blame for calls that lost an answer, told before or later."""
-    history = history_of(*[{GOOD: True}] * CRASHES)
-    assert history.alive(start(1), 1.5)
-    history.lost(start(1), {GOOD: True}, 1.0, 1.0)
-    assert history.judge(CRASHES + LATER) == []
-    history.lost(start(1), {GOOD: True}, 4.0, 4.0)
-    history.confirm(start(1))
-    assert history.judge(4.0 + LATER) == [GOOD]
+    history = history_of(*[{GOOD: True}] * BLOCK_CRASHES)
+    assert history.record_alive(instance(1), 1.5)
+    history.record_lost(instance(1), {GOOD: True}, 1.0, 1.0)
+    assert history.block_attributed(BLOCK_CRASHES + AFTER_SETTLE_S) == []
+    history.record_lost(instance(1), {GOOD: True}, 4.0, 4.0)
+    history.confirm(instance(1))
+    assert history.block_attributed(4.0 + AFTER_SETTLE_S) == [GOOD]
 
 
-def test_a_call_that_came_to_its_end_is_cleared_of_crashes_before():
+def test_completed_request_is_cleared_of_earlier_crashes():
     """Guards against blame that outlives the proof of innocence."""
-    history = history_of(*[{GOOD: True}] * CRASHES)
-    assert history.completed(GOOD, 2.5)
-    history.lost(start(1), {GOOD: True}, 1.0, 1.0)
-    assert history.judge(CRASHES + LATER) == []
-    assert history.blame(GOOD).own == 1
+    history = history_of(*[{GOOD: True}] * BLOCK_CRASHES)
+    assert history.record_completed(GOOD, 2.5)
+    history.record_lost(instance(1), {GOOD: True}, 1.0, 1.0)
+    assert history.block_attributed(BLOCK_CRASHES + AFTER_SETTLE_S) == []
+    assert history.crash_counts(GOOD).unexplained == 1
 
 
-def test_a_crash_is_blamed_on_one_call():
+def test_crash_is_attributed_to_one_request():
     """Guards against blame for what ran beside a call that is found out later."""
     crashes = [{BAD: True, GOOD: True}] * 2 + [{BAD: True}]
     history = history_of(*crashes)
-    assert history.judge(3 + LATER) == [BAD]
-    history.lost(start(4), {GOOD: True}, 4.0, 4.0)
-    history.confirm(start(4))
-    assert history.judge(4 + LATER) == []
+    assert history.block_attributed(3 + AFTER_SETTLE_S) == [BAD]
+    history.record_lost(instance(4), {GOOD: True}, 4.0, 4.0)
+    history.confirm(instance(4))
+    assert history.block_attributed(4 + AFTER_SETTLE_S) == []
 
 
 def test_memory_of_crashes_is_bounded():
     """Guards against a hostile caller whose calls fill an entry's memory."""
     history = CrashHistory()
-    calls = []
-    for number in range(2 * MOST_CRASHES):
-        lost = {Fingerprint(f"{number}-{n}"): True for n in range(2 * MOST_LOST)}
-        history.lost(start(number), lost, float(number), float(number))
-        calls += lost
-    for number in range(2 * MOST_BLOCKED):
+    fingerprints = []
+    for number in range(2 * MAX_CRASHES):
+        lost = {Fingerprint(f"{number}-{n}"): True for n in range(2 * MAX_LOST)}
+        history.record_lost(instance(number), lost, float(number), float(number))
+        fingerprints += lost
+    for number in range(2 * MAX_BLOCKED):
         history.block(Fingerprint(f"b{number}"), 1e6 + number)
-    accused = sum(history.blame(call) is not None for call in calls)
-    assert accused == MOST_CRASHES * MOST_LOST
-    assert len(history.blocked()) == MOST_BLOCKED
-    assert history.blocked_for(Fingerprint(f"b{2 * MOST_BLOCKED - 1}"), 0.0)
+    suspected = sum(
+        history.crash_counts(fingerprint) is not None for fingerprint in fingerprints
+    )
+    assert suspected == MAX_CRASHES * MAX_LOST
+    assert len(history.blocked()) == MAX_BLOCKED
+    assert history.blocked_for(Fingerprint(f"b{2 * MAX_BLOCKED - 1}"), 0.0)
--- a/tests/test_decide_processes.py
+++ b/tests/test_decide_processes.py
@@ -31,7 +31,7 @@
     "retries.RetryBudget": "entry/forward.py",
     "retries.may_retry": "entry/forward.py",
     "admission.connections_refusal": "entry/main.py",
-    "waiting.MissingCopies": "entry/router.py",
+    "waiting.LoadWaitEstimator": "entry/router.py",
 }
 
 
@@ -39,13 +39,13 @@
 """Codes that only the decisions and the rate shares give."""
 
 
-def trees():
+def syntax_trees():
     for package in ("entry", "sidecar"):
         for path in sorted((ROOT / package).glob("*.py")):
             yield str(path.relative_to(ROOT)), ast.parse(path.read_text())
 
 
-def called(tree):
+def called_names(tree):
     """Return the names of all functions that are called."""
     calls = [node for node in ast.walk(tree) if isinstance(node, ast.Call)]
     return [ast.unparse(call.func).rpartition(".")[2] for call in calls]
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(("decision", "site"), CALL_SITES.items())
 def test_each_decision_has_its_one_call_site(decision, site):
     module, _, name = decision.partition(".")
-    sites = [path for path, tree in trees() if name in called(tree)]
+    sites = [path for path, tree in syntax_trees() if name in called_names(tree)]
     assert sites == [site]
     assert f"from ..decide.{module} import" in (ROOT / site).read_text()
 
@@ -65,7 +65,7 @@
     It would not be played or measured, and callers would get what nobody tested.
     """
     found = []
-    for path, tree in trees():
+    for path, tree in syntax_trees():
         for node in ast.walk(tree):
             if isinstance(node, ast.Attribute) and node.attr in REFUSALS:
                 found.append(f"{path}:{node.lineno} refuses for load")
@@ -80,7 +80,7 @@
     assert found == []
 
 
-def test_copy_keeps_its_age_over_a_lost_link_and_a_new_one_starts_cold(engine):
+def test_copies_keep_their_own_age_over_a_lost_link(engine):
     """A copy is loaded beside a warm one, and the link to their sidecar breaks.
 
     If the whole link counted as new, callers of the warm copy would be sent to
@@ -89,10 +89,10 @@
     conn = engine.conn
     welcome = engine.server._welcome()
     conn.take(replace(welcome, models=("old",)))
-    born = time.monotonic()
-    wait_for(lambda: time.monotonic() > born, "the clock")
+    loaded_at = time.monotonic()
+    wait_for(lambda: time.monotonic() > loaded_at, "the clock")
     conn.take(replace(welcome, models=("old", "new")))
-    later = born + 10.0
+    later = loaded_at + 10.0
     assert conn.age_of("old", later) >= 10.0 > conn.age_of("new", later)
 
 
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -9,8 +9,8 @@
 from fleet import wait_for
 from returns.result import Success
 
-from persimmonhitch.decide.dispatch import Need
-from persimmonhitch.decide.trust import FAILURES
+from persimmonhitch.decide.dispatch import DispatchRequest
+from persimmonhitch.decide.health import EJECT_AFTER_FAILURES
 from persimmonhitch.direct.abort import Abort
 from persimmonhitch.direct.dispatcher import Dispatcher
 from persimmonhitch.direct.poison import PoisonGuard
@@ -33,7 +33,7 @@
 def request(rank=1, latency_target=5.0, deadline=10.0, model=BIG, adapter=None):
     now = time.monotonic()
     end = now + deadline
-    return Need(
+    return DispatchRequest(
         LLM, model, adapter, 100, 120, rank, now, now + latency_target, end, end
     )
 
@@ -111,7 +111,7 @@
     dispatcher = make_dispatcher(
         record("e1"), *(record(f"e{n}", (other,)) for n in (2, 3, 4))
     )
-    for _ in range(FAILURES):
+    for _ in range(EJECT_AFTER_FAILURES):
         dispatcher.record_failure(record("e1"), unreachable=False)
     assert dispatcher.acquire(request(), abort()).unwrap().record.name == "e1"
 
@@ -162,7 +162,7 @@
     table = UpstreamTable()
     table.update([record("e1")])
     for prompt, unread, seconds in samples:
-        sent = replace(request(), prompt=prompt)
+        sent = replace(request(), prompt_tokens=prompt)
         table.record_start(Upstream("e1"), sent)
         table.record_first_token(Upstream("e1"), sent, seconds, unread)
         table.record_finish(Upstream("e1"), sent, True)
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from persimmonhitch.decide.dispatch import Lane
+from persimmonhitch.decide.dispatch import UpstreamView
 from persimmonhitch.direct.upstream_limits import UpstreamLimits
 from persimmonhitch.fleet.call import RequestLimit
 from persimmonhitch.fleet.upstream import UpstreamRecord
@@ -91,9 +91,9 @@
                 self._waiting.append((until, vm))
 
     def _send(self, vm):
-        lane = Lane(UP.name, ZONE, 64, 0, 0, 0, 0, True, True)
+        lane = UpstreamView(UP.name, ZONE, 64, 0, 0, 0, 0, True, True)
         self.limits[vm].exclude_limited([lane])
-        if lane.trust <= 0:
+        if lane.traffic_share <= 0:
             return False
         self.limits[vm].sent(UP.name)
         since_told = self.now - self.told.get(vm, self.now)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import pytest
 
 from persimmonhitch.decide.copy_count import REMOVAL_WAIT_S, CopyCount, SmoothedDemand
-from persimmonhitch.decide.pacing import LoadPacer, RetryDelay
+from persimmonhitch.decide.pacing import LoadPacer, RetryBackoff
 from persimmonhitch.decide.placement import Move, Reason, make_plan, plan
 from persimmonhitch.decide.targets import ModelRequirement
 from persimmonhitch.ids import Model, Upstream
@@ -288,9 +288,9 @@
     pacer = LoadPacer(0.1, 1, 1)
     unload = replace(load_of("m"), is_load=False)
     assert list(pacer.admit([unload] * 3, frozenset(), 9, 9, 0.0)) == [unload] * 3
-    delay, slot = RetryDelay(), (Model("m"), Upstream("u"))
+    delay, slot = RetryBackoff(), (Model("m"), Upstream("u"))
     delay.failed(slot, 0.0)
     delay.failed(slot, 5.0)
-    assert (delay.blocked(8.9), delay.blocked(9.0)) == ({slot}, set())
+    assert (delay.blocked_targets(8.9), delay.blocked_targets(9.0)) == ({slot}, set())
     delay.succeeded(slot)
-    assert delay.blocked(0.0) == set()
+    assert delay.blocked_targets(0.0) == set()
--- a/tests/test_poison_fleet.py
+++ b/tests/test_poison_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from persimmonhitch.decide.dispatch import Lane, Need
+from persimmonhitch.decide.dispatch import DispatchRequest, UpstreamView
 from persimmonhitch.direct.poison import PoisonGuard
 from persimmonhitch.fleet.upstream import UpstreamRecord
 from persimmonhitch.ids import Fingerprint, Service, Upstream, Vm, Zone
@@ -156,12 +156,16 @@
 
     def _place(self, guard, call):
         lanes = [
-            Lane(e.record.name, ZONE, SLOTS, 0, len(e.running), 0, 0, True, True)
+            UpstreamView(
+                e.record.name, ZONE, SLOTS, 0, len(e.running), 0, 0, True, True
+            )
             for e in self.engines
             if e.back_at <= self.now and len(e.running) < SLOTS
         ]
-        guard.exclude_upstreams(Need(LLM, None, None, 1, 1, 1, 0, 0, 0, 0, call), lanes)
-        able = [lane for lane in lanes if lane.trust > 0]
+        guard.exclude_upstreams(
+            DispatchRequest(LLM, None, None, 1, 1, 1, 0, 0, 0, 0, call), lanes
+        )
+        able = [lane for lane in lanes if lane.traffic_share > 0]
         if not able:
             return None
         least = min(able, key=lambda lane: (lane.running, self.rng.random()))
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from persimmonhitch.decide.poison import CRASHES, SETTLED
+from persimmonhitch.decide.poison import BLOCK_CRASHES, SETTLE_S
 from persimmonhitch.direct.poison import PoisonGuard
 from persimmonhitch.fleet.upstream import UpstreamRecord
 from persimmonhitch.ids import Fingerprint, Service, Upstream, Vm, Zone
@@ -34,7 +34,7 @@
         self.guard.ended(BAD, record(number).name)
 
     def blocks(self):
-        self.now += SETTLED + 0.01
+        self.now += SETTLE_S + 0.01
         self.told = self.guard.next_update()
         return self.guard.refusal(BAD) is not None
 
@@ -42,14 +42,14 @@
 @pytest.mark.parametrize(
     "others",
     [
-        [replace(record(n), born=2) for n in range(CRASHES)],
-        [replace(record(n), name=Upstream(f"new{n}")) for n in range(CRASHES)],
+        [replace(record(n), born=2) for n in range(BLOCK_CRASHES)],
+        [replace(record(n), name=Upstream(f"new{n}")) for n in range(BLOCK_CRASHES)],
     ],
 )
 def test_an_upstream_that_starts_anew_at_once_has_crashed(others):
     """Guards against crashes taken for lost answers, as connections go on."""
     entry = Entry()
-    for number in range(CRASHES):
+    for number in range(BLOCK_CRASHES):
         entry.lose(number)
     assert [up.name for up in entry.guard.due_checks()] == ["u0", "u1"]
     assert not entry.blocks()
@@ -60,7 +60,7 @@
 def test_an_upstream_that_answers_later_requests_has_not_crashed():
     """Guards against blame for calls whose answers an upstream loses."""
     entry = Entry()
-    for number in range(CRASHES):
+    for number in range(BLOCK_CRASHES):
         entry.lose(number)
         entry.guard.answered(record(number), entry.now + 0.1)
         entry.guard.unreachable(record(number))
@@ -85,7 +85,7 @@
 def test_an_entry_that_starts_blames_nobody_whom_others_have_cleared():
     """Guards against blame by an entry that missed the answers of a call."""
     first, second, new = Entry("e1"), Entry("e2"), Entry("e3")
-    for number in range(CRASHES):
+    for number in range(BLOCK_CRASHES):
         first.lose(number)
         first.guard.unreachable(record(number))
     second.now = first.now
@@ -101,7 +101,7 @@
 def test_an_entry_that_starts_waits_for_what_all_others_tell():
     """Guards against blame by the first of several entries that tell of old crashes."""
     told, new = Entry("e1"), Entry("e2")
-    for number in range(CRASHES):
+    for number in range(BLOCK_CRASHES):
         told.lose(number)
         told.guard.unreachable(record(number))
     new.now = 20.0
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -15,17 +15,17 @@
 from persimmonhitch.ids import ConfigVersion, Epoch, Model, Service, Upstream, Vm, Zone
 
 LLM = Service("llm")
-READS = 24_000.0
+READ_RATE = 24_000.0
 """Tokens a second that an engine reads."""
-LOOK_EVERY = 0.1
-LOAD_COLD = 8.0
+ROUND_INTERVAL_S = 0.1
+COLD_LOAD_S = 8.0
 BUSY_RATE = 24_000.0
 """Tokens a second that are asked of each busy model: more than the engines can give."""
-STORE_RATE = 6.5
+STORE_LOADS_PER_S = 6.5
 """Loads a second that the weight store gives."""
 
 
-class Held:
+class HeldLease:
     """A lease that this entry holds."""
 
     predecessor = None
@@ -47,29 +47,29 @@
 
     model: Model
     tokens: float
-    every: float
-    asked: float = 0.0
+    interval_s: float
+    requested: float = 0.0
     """Tokens asked for so far."""
 
-    def call(self, passed):
+    def requests_due(self, elapsed):
         """Ask for what is due after some seconds; return whether that is a call."""
-        before = self.asked
-        self.asked = (int(passed / self.every) + 1) * self.tokens
-        return self.asked > before
+        before = self.requested
+        self.requested = (int(elapsed / self.interval_s) + 1) * self.tokens
+        return self.requested > before
 
 
-class OrdersTaken(Leader):
+class RecordingLeader(Leader):
     """Gives its loads to a list instead of sending orders."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.begun = []
+        self.loads = []
 
-    def _start_load(self, desk, move, demand):
-        desk.engine.loading = move.model
-        desk.engine.evicting = frozenset(move.victims)
-        desk.engine.ready_at = self._clock() + move.takes
-        self.begun.append((desk, move))
+    def _start_load(self, controller, move, demand):
+        controller.engine.loading = move.model
+        controller.engine.evicting = frozenset(move.evicted)
+        controller.engine.ready_at = self._clock() + move.total_s
+        self.loads.append((controller, move))
 
 
 @dataclass
@@ -81,81 +81,85 @@
 
     engines: int
     callers: list
-    held: dict
+    resident: dict
     models: list
     clock: Clock = field(default_factory=Clock)
     served: set = field(default_factory=set)
 
     def __post_init__(self):
         specs = {
-            m: ModelSpec(m, 80.0, LOAD_COLD, 1.7, 0.6, 0, 0.0) for m in self.models
+            m: ModelSpec(m, 80.0, COLD_LOAD_S, 1.7, 0.6, 0, 0.0) for m in self.models
         }
-        spec = EngineSpec(64, 100_000, 190.0, 2, STORE_RATE, specs)
+        spec = EngineSpec(64, 100_000, 190.0, 2, STORE_LOADS_PER_S, specs)
         service = ServiceSpec(LLM, "/health", 100, spec)
         cfg = FleetConfig(ConfigVersion(1), services={LLM: service})
-        self.leader = OrdersTaken(
+        self.leader = RecordingLeader(
             Vm("a"),
-            lambda _l: Held(),
+            lambda _l: HeldLease(),
             lambda _m: None,
-            lambda _s: READS,
+            lambda _s: READ_RATE,
             no_limits(),
             self.clock,
         )
         self.leader._client = self
         self.leader.configure(cfg)
-        self.holdings = {
+        self.inventories = {
             Upstream(f"e{n}"): Holding(
-                0, dict.fromkeys(self.held.get(n, ()), frozenset())
+                0, dict.fromkeys(self.resident.get(n, ()), frozenset())
             )
             for n in range(self.engines)
         }
-        self.leader.update_upstreams([self._record(name) for name in self.holdings])
+        self.leader.update_upstreams([self._record(name) for name in self.inventories])
         self.leader.run_round()
         wait_for(
             lambda: all(d.engine.inventory for d in self.leader._controllers.values()),
             "the engines' state to be learned",
         )
-        self.began_at = self.clock.now
+        self.started_at = self.clock.now
 
     def get_report(self, record):
-        return Success(self.holdings[record.name])
+        return Success(self.inventories[record.name])
 
     def _record(self, name, draining=False):
-        holding = self.holdings[name]
-        return UpstreamRecord(name, LLM, "h", 80, Zone("z1"), 64, draining, 1, holding)
+        inventory = self.inventories[name]
+        return UpstreamRecord(
+            name, LLM, "h", 80, Zone("z1"), 64, draining, 1, inventory
+        )
 
     def drain(self, name):
         """Have an engine tell that it is leaving."""
         self.leader.update_upstreams(
-            [self._record(n, n == name) for n in self.holdings]
+            [self._record(n, n == name) for n in self.inventories]
         )
 
     def run(self, seconds):
         """Play some seconds; return the models whose calls found an engine."""
         end = self.clock.now + seconds
         while self.clock.now < end:
-            self.clock.sleep(LOOK_EVERY)
-            passed = self.clock.now - self.began_at
+            self.clock.sleep(ROUND_INTERVAL_S)
+            elapsed = self.clock.now - self.started_at
             for caller in self.callers:
-                if caller.call(passed) and self._is_held(caller.model):
+                if caller.requests_due(elapsed) and self._is_resident(caller.model):
                     self.served.add(caller.model)
-            asked = {caller.model: caller.asked for caller in self.callers}
-            self.leader.receive_entry_update(Vm("b"), EntryUpdate({}, asked, ()))
-            self._end_loads()
+            totals = {caller.model: caller.requested for caller in self.callers}
+            self.leader.receive_entry_update(Vm("b"), EntryUpdate({}, totals, ()))
+            self._finish_loads()
             self.leader.run_round()
         return self.served
 
-    def _is_held(self, model):
-        desks = self.leader._controllers.values()
-        return any(model in desk.engine.inventory.models for desk in desks)
+    def _is_resident(self, model):
+        controllers = self.leader._controllers.values()
+        return any(
+            model in controller.engine.inventory.models for controller in controllers
+        )
 
-    def _end_loads(self):
-        for desk, move in self.leader.begun:
-            engine = desk.engine
+    def _finish_loads(self):
+        for controller, move in self.leader.loads:
+            engine = controller.engine
             if engine.loading != move.model or self.clock.now < engine.ready_at:
                 continue
             models = {m: frozenset() for m in engine.inventory.models}
-            for victim in move.victims:
+            for victim in move.evicted:
                 models.pop(victim, None)
             models[move.model] = frozenset()
             disk = engine.inventory.on_disk | frozenset(models)
@@ -164,50 +168,52 @@
             engine.loaded_at[move.model] = self.clock.now
 
 
-def busy_fleet(engines, rare):
+def full_fleet(engines, rare):
     """Return a fleet that is full of busy models, beside callers of rare ones."""
     busy = names("busy", engines)
-    held = {n: (busy[n], busy[(n + 1) % engines]) for n in range(engines)}
+    resident = {n: (busy[n], busy[(n + 1) % engines]) for n in range(engines)}
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy] + rare
-    return Fleet(engines, callers, held, busy + [caller.model for caller in rare])
+    return Fleet(engines, callers, resident, busy + [caller.model for caller in rare])
 
 
 @pytest.mark.parametrize("engines", [6, 24])
-def test_rare_models_do_not_wait_for_each_others_loads(engines):
+def test_loads_of_rare_models_run_in_parallel(engines):
     """Guards against models never served where more are missing than load in turn."""
     rare = [Caller(model, 2400.0, 2.0) for model in names("rare", engines // 2)]
-    fleet = busy_fleet(engines, rare)
+    fleet = full_fleet(engines, rare)
     assert {caller.model for caller in rare} <= fleet.run(34.0)
 
 
 @pytest.mark.parametrize(
-    ("tokens", "every"), [(2400.0, 5.5), (600.0, 4.0), (200.0, 3.0)]
+    ("tokens", "interval_s"), [(2400.0, 5.5), (600.0, 4.0), (200.0, 3.0)]
 )
-def test_a_missing_model_is_not_forgotten_between_two_calls(tokens, every):
+def test_missing_model_stays_missing_between_two_requests(tokens, interval_s):
     """Guards against models never served whose few calls hardly show in averages."""
-    rare = Caller(Model("rare"), tokens, every)
-    fleet = busy_fleet(6, [rare])
+    rare = Caller(Model("rare"), tokens, interval_s)
+    fleet = full_fleet(6, [rare])
     assert rare.model in fleet.run(34.0)
 
 
-def test_idle_engines_load_what_is_asked_for_first():
+def test_idle_engines_load_requested_models_first():
     """Guards against idle engines that load unasked models beside refused callers."""
-    unasked, busy = names("unasked", 4), names("busy", 3)
+    unused, busy = names("unasked", 4), names("busy", 3)
     rare = [Caller(model, 2400.0, 2.0) for model in names("rare", 3)]
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy] + rare
-    held = {n: (busy[n], busy[(n + 1) % 3]) for n in range(3)}
-    fleet = Fleet(6, callers, held, unasked + busy + [caller.model for caller in rare])
+    resident = {n: (busy[n], busy[(n + 1) % 3]) for n in range(3)}
+    fleet = Fleet(
+        6, callers, resident, unused + busy + [caller.model for caller in rare]
+    )
     fleet.run(1.0)
-    loads = {move.model for _, move in fleet.leader.begun}
+    loads = {move.model for _, move in fleet.leader.loads}
     assert {caller.model for caller in rare} <= loads
 
 
-def test_models_of_a_leaving_engine_are_loaded_before_it_has_gone():
+def test_models_of_a_draining_engine_are_loaded_elsewhere():
     """Guards against models that count as held by an engine that gets no more calls."""
     busy = names("busy", 2)
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy]
     fleet = Fleet(2, callers, {0: (busy[0],), 1: (busy[1],)}, busy)
     fleet.drain(Upstream("e0"))
     fleet.run(1.0)
-    loads = [(desk.engine.record.name, move.model) for desk, move in fleet.leader.begun]
+    loads = [(c.engine.record.name, move.model) for c, move in fleet.leader.loads]
     assert (Upstream("e1"), busy[0]) in loads
