--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -344,10 +344,8 @@
             if service.engine is None:
                 continue
             candidates = [c for c in controllers if _is_candidate(c, service.name)]
-            engine_read_rate = self._prompt_read_rate(service.name)
-            demand = {
-                model: rate / engine_read_rate for model, rate in demand_rates.items()
-            }
+            engine_rate = self._prompt_read_rate(service.name)
+            demand = {model: rate / engine_rate for model, rate in demand_rates.items()}
             missing = self._missing[service.name]
             self._place_service(service.engine, missing, demand, candidates, now)
 
