--- a/src/persimmonhitch/direct/connection_pool.py
+++ b/src/persimmonhitch/direct/connection_pool.py
@@ -93,8 +93,8 @@
         """Close the idle connections to a removed or failed upstream."""
         with self._lock:
             idle = self._idle.pop(address, [])
-        for entry in idle:
-            entry.conn.close()
+        for item in idle:
+            item.conn.close()
 
 
 def _readable(conn: HTTPConnection) -> bool:
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -223,7 +223,7 @@
     status: int
     headers: dict
     body: bytes
-    whole: bool = field(default=True)
+    complete: bool = field(default=True)
 
 
 class GatewayServer:
@@ -302,9 +302,9 @@
         conn = self.open(path, **options)
         response = conn.getresponse()
         try:
-            body, whole = response.read(), True
+            body, complete = response.read(), True
         except http.client.IncompleteRead as exc:
-            body, whole = exc.partial, False
+            body, complete = exc.partial, False
         headers = {k.lower(): v for k, v in response.getheaders()}
         conn.close()
-        return Reply(response.status, headers, body, whole)
+        return Reply(response.status, headers, body, complete)
--- a/tests/test_direct_gateway.py
+++ b/tests/test_direct_gateway.py
@@ -98,7 +98,7 @@
         remove_destination(lines.append)
     assert reply.status == 503
     assert json.loads(reply.body)["error"]["request_id"] == "q1"
-    (line,) = [entry for entry in lines if entry.get("reason") == full.message]
+    (line,) = [logged for logged in lines if logged.get("reason") == full.message]
     assert (line["message_type"], line["request"]) == ("request_refused", "q1")
 
 
@@ -215,7 +215,7 @@
     with GatewayServer(upstream) as gateway:
         reply = gateway.call("/chat/x")
     assert reply.body == b"id: 1\ndata: t1\n\nid: 2\ndata: t2\n\n"
-    assert reply.whole
+    assert reply.complete
     assert upstream.received[0].headers["x-persimmonhitch-request-priority"] == "1"
 
 
@@ -227,7 +227,7 @@
     with GatewayServer(upstream) as gateway:
         reply = gateway.call("/chat/x")
     assert reply.body == b"id: 1\ndata: t1\n\n"
-    assert not reply.whole
+    assert not reply.complete
     assert len(upstream.received) == 1
 
 
@@ -248,7 +248,7 @@
     assert reply.body == b"".join(
         f"id: {n}\ndata: t{n}\n\n".encode() for n in (1, 2, 3)
     )
-    assert reply.whole
+    assert reply.complete
     assert sum(len(upstream.received) for upstream in upstreams) == 2
 
 
--- a/tests/test_poison_gateway.py
+++ b/tests/test_poison_gateway.py
@@ -74,7 +74,7 @@
     assert last.status == 503
     assert b"not_run" in last.body
     assert float(last.headers["retry-after"]) > 0
-    assert (other.status, other.whole) == (200, True)
+    assert (other.status, other.complete) == (200, True)
 
 
 @pytest.mark.parametrize("head", [b"", STREAM_HEAD])
