--- a/src/persimmonhitch/decide/dispatch.py
+++ b/src/persimmonhitch/decide/dispatch.py
@@ -1,24 +1,26 @@
-"""Which upstream a call goes to now, or what has to happen first.
-
-Load pattern: engines batch up to a number of places and read prompts one after the
-other; several entries send to the same engines and know each other's work a fraction of
-a second late. A call that is sent to a full engine waits there behind others, whatever
-its rank; and where more prompts and answers meet than an engine's memory holds, it
-throws out a request in the middle of its answer and reads its prompt anew.
-
-So a call waits here until an engine has a place and memory for it, and goes where its
-first token is expected soonest. An adapter that is not there yet costs a load of some
-ten milliseconds and a place that another adapter may need: ``FETCH_COST`` keeps calls
-where their adapter is until the other engines are clearly sooner. ``ZONE_COST`` is what
-a trip between availability zones costs, a few milliseconds there and back with the
-bytes that are paid for. ``READ_RATE`` stands in until an engine's own rate is known.
-
-Dozens of entries that look at the same news all find the same engine the soonest, and
-send it everything that comes before the next news; the engine that has just come, or
-come back, gets all of it. So a call goes to the best engine or, the more likely the
-closer it is, to another one that is as good but for its wait. Waits that differ by less
-than the mean of all are in doubt: with so much to read, about as much again has been
-sent that nobody has heard of. Where engines are idle, news are as good as new.
+"""Choose the upstream for a request, or the step that it needs first.
+
+Load pattern: an engine batches up to a number of slots and reads prompts one after the
+other. Several entries send to the same engines, and each sees the work of the others a
+fraction of a second late. A request sent to a full engine queues there behind others
+whatever its rank. Where prompts and answers together exceed the KV memory of an engine,
+the engine preempts a request in the middle of its answer and reads its prompt again.
+
+Requests therefore wait at the entry until an engine has a free slot and free memory,
+and go to the engine with the earliest expected first token. Loading an adapter takes
+some ten milliseconds and a slot that another adapter may need: ``ADAPTER_LOAD_COST_S``
+keeps requests where their adapter is resident until other engines are clearly sooner.
+``CROSS_ZONE_COST_S`` stands for a round trip between availability zones, a few
+milliseconds, and for the traffic that is billed. ``DEFAULT_READ_RATE`` applies until an
+engine's own rate is known.
+
+Dozens of entries with the same view of the fleet would all choose the same engine and
+send it every request that arrives before the next update; an engine that joins or
+returns would get all of them. The choice is therefore random between the best engine
+and those that differ from it only in their wait, with a higher probability the closer
+the waits are. Waits that differ by less than the mean of all waits count as
+uncertain: with so many tokens to read, about as many again have been sent that no
+update has reported. Where engines are idle, the view is up to date.
 """
 
 import math
@@ -32,22 +34,23 @@
 from ..ids import Adapter, Fingerprint, Model, Service, Upstream, Zone
 
 ADAPTER_LOAD_COST_S: Final = 0.08
-"""Seconds of waiting that a call takes on to stay where its adapter is."""
+"""Extra wait accepted to use an engine on which the adapter is resident."""
 CROSS_ZONE_COST_S: Final = 0.04
-"""Seconds; see the module."""
+"""Extra wait accepted to stay within the availability zone."""
 DEFAULT_READ_RATE: Final = 15_000.0
-"""Prompt tokens a second that an engine reads; a third less than the published rate of
-an engine that does nothing else."""
+"""Prompt tokens per second that an engine reads; a third below the published rate of an
+engine that does nothing else."""
 MIN_WAIT_ERROR_S: Final = 0.005
-"""Seconds by which waits always are in doubt: a step of an engine."""
+"""Smallest uncertainty of a wait: the duration of one engine step."""
 MAX_KV_SHARE: Final = 0.97
-"""Part of an engine's memory for tokens that calls may fill: prompts that are shared
-are counted once too often, outputs mostly end before their limit."""
+"""Share of the KV capacity that requests may reserve. Reservations overestimate the
+use: shared prompts are counted more than once, and most outputs end before their
+limit."""
 
 
 @dataclass(frozen=True)
 class DispatchRequest:
-    """One call that looks for an upstream; times are monotonic seconds."""
+    """A request that needs an upstream; times are monotonic seconds."""
 
     service: Service
     model: Model | None
@@ -58,14 +61,14 @@
     arrived: float
     latency_target_at: float
     first_event_by: float
-    """When its caller leaves if nothing has come of a stream."""
+    """When the caller disconnects from a stream without events."""
     deadline_at: float
     fingerprint: Fingerprint = Fingerprint("")
 
 
 @dataclass
 class UpstreamView:
-    """One upstream as this entry sees it, with the work of all entries."""
+    """State of one upstream as seen by this entry, with the work of all entries."""
 
     upstream: Upstream
     zone: Zone
@@ -77,45 +80,45 @@
     has_model: bool
     has_adapter: bool
     loads_adapters: bool = True
-    """Whether it takes an order for an adapter now; none while it loads a model."""
+    """Whether the engine accepts adapter loads; it accepts none during a model load."""
     read_rate: float = DEFAULT_READ_RATE
     traffic_share: float = 1.0
-    """Part of its usual work that it gets while it returns from failures; 0 is none."""
+    """Share of the usual traffic during recovery from failures; 0 for none."""
     unresponsive: bool = False
-    """Whether it says nothing to the calls that run there."""
+    """Whether the requests that run there have received no output for a time."""
 
 
 class Step(Enum):
-    """What is to be done for a call."""
+    """Next step for a request."""
 
     SEND = "send"
     LOAD_ADAPTER = "fetch"
-    """Have the adapter loaded at the upstream, then look again."""
+    """Have the adapter loaded at the upstream, then choose again."""
     LOAD = "load"
-    """No upstream has the model."""
+    """The model is resident on no upstream."""
     WAIT = "wait"
-    """All upstreams that could run it are full."""
+    """All upstreams that can run the request are full."""
     WAIT_FOR_MODEL = "wait_to_fetch"
-    """Its adapter is nowhere, and all upstreams of its model load another model."""
+    """No upstream has the adapter, and all that have its model load another model."""
     NO_UPSTREAM = "none"
-    """There is no upstream."""
+    """There is no candidate upstream."""
 
 
 @dataclass(frozen=True)
 class Choice:
-    """A step, and the upstream that it is about."""
+    """A step and the upstream that it applies to."""
 
     step: Step
     upstream: Upstream | None = None
 
 
 def first_token_delay(view: UpstreamView, request: DispatchRequest) -> float:
-    """Return the seconds until a call's first token, if it were sent now."""
+    """Return the seconds until the first token of a request that is sent now."""
     return (view.unread + request.prompt_tokens) / view.read_rate
 
 
 def has_capacity(view: UpstreamView, request: DispatchRequest) -> bool:
-    """Return whether an upstream has a place and memory for one more call."""
+    """Return whether an upstream has a slot and memory for one more request."""
     if view.traffic_share <= 0 or view.running >= max(
         1.0, view.slots * view.traffic_share
     ):
@@ -126,7 +129,7 @@
 
 
 def weighted_wait(view: UpstreamView, request: DispatchRequest, zone: Zone) -> float:
-    """Return the expected wait at an upstream with what else counts against it."""
+    """Return the expected wait at an upstream plus the costs of adapter and zone."""
     wait = first_token_delay(view, request)
     wait += view.running / max(1, view.slots) * 0.05
     if request.adapter is not None and not view.has_adapter:
@@ -142,7 +145,7 @@
     zone: Zone,
     draw: Callable[[], float] = random.random,
 ) -> Choice:
-    """Return what to do for a call now; ``draw`` returns a number from 0 to 1."""
+    """Return the next step for a request; ``draw`` returns a number from 0 to 1."""
     candidates = list(views)
     if not candidates:
         return Choice(Step.NO_UPSTREAM)
@@ -168,7 +171,7 @@
 def _choose_near_best(
     views: Sequence[UpstreamView], request: DispatchRequest, zone: Zone, sample: float
 ) -> UpstreamView:
-    """Return the best lane, or one as good but for a wait that is in doubt."""
+    """Return the best upstream, or one that differs by an uncertain wait alone."""
     costs = [weighted_wait(view, request, zone) for view in views]
     error = max(MIN_WAIT_ERROR_S, mean(view.unread / view.read_rate for view in views))
     least = min(costs)
@@ -186,6 +189,6 @@
 
 
 def _is_equivalent(view: UpstreamView, best: UpstreamView, zone: Zone) -> bool:
-    """Return whether a lane differs from the best one in nothing but its wait."""
+    """Return whether an upstream differs from the best one in its wait alone."""
     same_side = (view.zone == zone) == (best.zone == zone)
     return same_side and view.has_adapter == best.has_adapter
--- a/src/persimmonhitch/decide/missing.py
+++ b/src/persimmonhitch/decide/missing.py
@@ -1,10 +1,11 @@
-"""Models that callers ask for and no engine holds, and since when.
-
-Load pattern: more models are asked for than engines have room for, and each rare one
-gets a call every few seconds. Its callers are all refused, and averages of the demand
-show hardly any of them. A model is missing from the first call that finds no engine
-until an engine holds it, however little is asked of it: a load that is lost with its
-engine serves nobody. Without calls for ``ASKED_FOR`` nobody is taken to come back.
+"""Models that callers request and that are resident on no engine, and since when.
+
+Load pattern: callers request more models than the engines have room for, and each rare
+model gets a request every few seconds. All of its callers are refused, and averages of
+the demand hardly show them. A model counts as missing from the first request that finds
+no engine until an engine has the model, however low its demand: a load that is lost
+with its engine serves no caller. A model without requests for ``DEMAND_TTL_S`` seconds
+is no longer missing, since its callers are not expected to retry.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,11 +16,11 @@
 from ..ids import Model
 
 DEMAND_TTL_S: Final = 30.0
-"""Seconds for which a call shows that a model is asked for."""
+"""Seconds for which a request counts as demand for its model."""
 
 
 class Availability(Enum):
-    """What became of a model that callers ask for."""
+    """Availability of a model that callers request."""
 
     MISSING = "missing"
     RESIDENT = "held"
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True)
 class AvailabilityChange:
-    """A model that began or ceased to be missing, after ``missing_for`` seconds."""
+    """A model that began to be missing, or that was missing for some seconds."""
 
     model: Model
     availability: Availability
@@ -37,16 +38,16 @@
 
 @dataclass
 class MissingModels:
-    """The models of one service that are missing; times are monotonic seconds."""
+    """Missing models of one service; times are monotonic seconds."""
 
     loading: set[Model] = field(default_factory=set)
-    """Overdue models that engines load."""
+    """Overdue models that engines are loading."""
     _since: dict[Model, float] = field(default_factory=dict)
 
     def update(
         self, demand_at: Mapping[Model, float], resident: Collection[Model], now: float
     ) -> list[AvailabilityChange]:
-        """Take when each model was last asked for, and what engines hold."""
+        """Update from the last request for each model and the resident models."""
         requested = {m for m, at in demand_at.items() if now - at <= DEMAND_TTL_S}
         changes = []
         for model in [m for m in self._since if m in resident or m not in requested]:
@@ -63,5 +64,5 @@
         return {model: now - since for model, since in self._since.items()}
 
     def longest_first(self) -> list[Model]:
-        """Return the models in the order in which they began to be missing."""
+        """Return the missing models, longest missing first."""
         return sorted(self._since, key=self._since.__getitem__)
--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -1,15 +1,17 @@
-"""Over which entries news reach the whole fleet.
-
-Load pattern: every entry has news a few times a second that all others need. Told by
-each to each, they cost entries times entries messages: at dozens of entries more than
-the processor time and the links of a small VM, and callers wait behind them.
-
-The entries of a zone tell the first of them that is alive, their parent, and it tells
-them what it hears. Entries without a parent, one in each zone unless they disagree for
-a moment, tell each other across the zones. An entry that says nothing for ``SILENT``
-is passed over until it is heard again; it is asked each ``PROBE_EVERY`` seconds. Which
-comes first depends on the list of entries alone, so all agree without a word: VMs with
-most processor time go first.
+"""Relay tree by which updates of each entry reach the whole fleet.
+
+Load pattern: every entry publishes updates a few times a second that all others need.
+Sent directly from each to each, they cost entries times entries messages: with dozens
+of entries more than the processor time and the links of a small VM, and requests of
+callers wait behind them.
+
+The entries of a zone send to their parent, the first responsive entry in the order of
+their zone, and the parent relays updates to them. Roots, the entries without a parent,
+send to each other across the zones; there is one root in each zone, except for moments
+of disagreement. An entry that sends nothing for ``UNRESPONSIVE_AFTER_S`` is skipped
+until it sends again, and is probed each ``PROBE_INTERVAL_S``. The order depends on the
+list of entries alone, so all entries agree without messages: VMs with the most
+processor time come first.
 """
 
 import hashlib
@@ -23,27 +25,27 @@
 from ..ids import Vm, Zone
 
 UNRESPONSIVE_AFTER_S: Final = 0.7
-"""Seconds without a message after which a neighbour is passed over; three missed."""
+"""Seconds without a message after which a neighbour is skipped: three missed beats."""
 NEIGHBOUR_TTL_S: Final = 1.5
-"""Seconds for which an entry that has spoken is told in turn."""
+"""Seconds after its last message for which an entry receives updates in return."""
 PROBE_INTERVAL_S: Final = 0.5
-"""Seconds between two messages to an entry that is passed over."""
+"""Seconds between probes of an entry that is skipped."""
 
 
 class RelayDirection(Enum):
-    """Which way a message goes."""
+    """Direction of a message in the relay tree."""
 
     UP = 0
     """To the parent."""
     BETWEEN_ROOTS = 1
-    """Between entries without a parent."""
+    """From a root to another root."""
     DOWN = 2
     """To a child."""
 
 
 @dataclass(frozen=True)
 class Member:
-    """One entry of the fleet; ``cores`` is the processor time that its VM has."""
+    """One entry of the fleet; ``cores`` is the processor time of its VM."""
 
     vm: Vm
     zone: Zone
@@ -52,20 +54,20 @@
 
 @dataclass(frozen=True)
 class Routes:
-    """Whom an entry tells its news at this moment."""
+    """Entries to which one entry sends at this moment."""
 
     parent: Vm | None = None
     children: frozenset[Vm] = frozenset()
     roots: frozenset[Vm] = frozenset()
     probes: frozenset[Vm] = frozenset()
-    """Entries that would be the parent if they said anything."""
+    """Unresponsive entries that precede the parent."""
     standby: Vm | None = None
-    """The next parent."""
+    """Entry that becomes the parent if the parent fails."""
     is_first: bool = False
-    """Whether no entry that is told across comes before this one."""
+    """Whether this entry is a root and precedes all other responsive roots."""
 
     def links(self) -> frozenset[Vm]:
-        """Return the entries to which this one keeps links of its own."""
+        """Return the entries to which this entry maintains links."""
         tree_links = {vm for vm in (self.parent, self.standby) if vm is not None}
         return self.roots | self.probes | tree_links
 
@@ -77,19 +79,19 @@
 
 @dataclass
 class Overlay:
-    """One entry's view of whom to tell; times are monotonic seconds."""
+    """Relay tree as seen by one entry; times are monotonic seconds."""
 
     local: Member
     _zones: dict[Zone, list[Member]] = field(default_factory=dict)
     _received_at: dict[Vm, float] = field(default_factory=dict)
     _awaited: dict[Vm, float] = field(default_factory=dict)
-    """Since when entries are told that have to answer."""
+    """Since when this entry expects messages from others."""
     _senders: dict[RelayDirection, dict[Vm, float]] = field(
         default_factory=lambda: {way: {} for way in RelayDirection}
     )
 
     def update(self, members: Iterable[Member]) -> None:
-        """Take the list of the other entries."""
+        """Replace the list of the other entries."""
         zones: defaultdict[Zone, list[Member]] = defaultdict(list)
         zones[self.local.zone].append(self.local)
         for member in members:
@@ -97,12 +99,12 @@
         self._zones = {zone: sorted(found, key=_rank) for zone, found in zones.items()}
 
     def record_message(self, vm: Vm, direction: RelayDirection, now: float) -> None:
-        """Note a message of a neighbour."""
+        """Record a message of a neighbour."""
         self._received_at[vm] = now
         self._senders[direction][vm] = now
 
     def routes(self, now: float) -> Routes:
-        """Return whom to tell now."""
+        """Return the entries to send to now."""
         awaited, self._awaited = self._awaited, {}
         zone_members = self._zones.get(self.local.zone, [self.local])
         preceding = [m.vm for m in zone_members[: zone_members.index(self.local)]]
@@ -124,12 +126,12 @@
         )
 
     def rank(self) -> int:
-        """Return how many entries come before this one in the whole fleet."""
+        """Return the number of entries in the fleet that precede this one."""
         members = [member for found in self._zones.values() for member in found]
         return sum(_rank(member) < _rank(self.local) for member in members)
 
     def _ranks_after(self, vm: Vm, now: float) -> bool:
-        """Return whether a neighbour comes after this entry, or is silent."""
+        """Return whether a neighbour is after this entry in order, or unresponsive."""
         if now - self._received_at.get(vm, -math.inf) > UNRESPONSIVE_AFTER_S:
             return True
         members = [member for found in self._zones.values() for member in found]
@@ -158,7 +160,7 @@
         for member in members:
             if not self._is_unresponsive(member.vm, awaited, now):
                 return member.vm
-        # A whole zone is out of reach; any of it may come back first.
+        # No entry of the zone responds; any of them may be the first to recover.
         return members[int(now / UNRESPONSIVE_AFTER_S) % len(members)].vm
 
     def _standby(self, zone_members: list[Member], parent: Vm | None) -> Vm | None:
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -1,17 +1,17 @@
-"""When loads may start: paced to what the weight store gives.
+"""Start loads at the rate of the weight store.
 
-Load pattern: an availability zone comes back or goes, and hundreds of copies are
-wanted at the same moment from one weight store.
+Load pattern: an availability zone fails or returns, and the planner orders hundreds of
+copies at the same moment from one weight store.
 
-Without this: all loads start at once, each of them slows down all others past the
-store's number at full speed, and the models that nobody can reach get theirs no
-earlier than a spare. With a store that is down, a planner that repeats its orders
-each period would meet its return with a crowd.
+Without pacing, all loads start at once, each slows down all others past the number
+that the store serves at full speed, and models without any copy get theirs no earlier
+than models that get a spare one. While the store is down, a planner that repeats its
+orders each period would start all of them at the moment of its return.
 
-Thresholds: loads a second, loads at once and adapters in flight are the deployment's
-own figures. Up to ``BURST_S`` (2 s) of unused starts are kept, so that a planner which
-looks every few seconds can use the whole rate. A failed load comes back after
-``RETRY_LEAST`` (2 s), doubled at each failure up to ``RETRY_MOST`` (60 s).
+Thresholds: loads per second, concurrent loads and concurrent adapter loads are settings
+of the deployment. Up to ``BURST_S`` of unused starts are saved, so that a planner
+with rounds of several seconds can use the whole rate. A failed load is retried after
+``MIN_RETRY_DELAY_S``, doubled at each failure up to ``MAX_RETRY_DELAY_S``.
 """
 
 from collections.abc import Iterable, Iterator
@@ -30,23 +30,23 @@
 
 @dataclass
 class LoadPacer:
-    """Lets loads start at the weight store's pace.
+    """Limits the start of loads to the rate of the weight store.
 
     Parameters
     ----------
     rate : float
-        Loads a second.
-    at_once : int
-        Models under way at full speed.
-    adapters_at_once : int
-        Adapters in flight at full speed.
+        Loads per second.
+    max_models_loading : int
+        Concurrent model loads that the store serves at full speed.
+    max_adapters_loading : int
+        Concurrent adapter loads that the store serves at full speed.
     """
 
     rate: float
     max_models_loading: int
     max_adapters_loading: int
     round_interval_s: float = 0.0
-    """Seconds between two rounds; the starts of one round are kept up to it."""
+    """Seconds between rounds of the planner; starts of one round are saved."""
     _starts: float = 1.0
     _last_at: float | None = None
 
@@ -58,7 +58,7 @@
         adapters_loading: int,
         now: float,
     ) -> Iterator[Move]:
-        """Yield the moves that may start now, in their order; unloads all may."""
+        """Yield the moves that may start now, in order; unloads always may."""
         self._refill(now)
         free_slots = {
             True: self.max_adapters_loading - adapters_loading,
@@ -83,12 +83,12 @@
 
 @dataclass
 class RetryBackoff:
-    """Keeps a failed load from being ordered again too soon."""
+    """Exponential delay before a failed load is retried."""
 
     _failures: dict[LoadTarget, tuple[int, float]] = field(default_factory=dict)
 
     def failed(self, target: LoadTarget, now: float) -> None:
-        """Note a failure."""
+        """Record a failure."""
         count = self._failures.get(target, (0, 0.0))[0] + 1
         delay = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2.0 ** (count - 1))
         self._failures[target] = (count, now + delay)
@@ -98,5 +98,5 @@
         self._failures.pop(target, None)
 
     def blocked_targets(self, now: float) -> set[LoadTarget]:
-        """Return the places to leave alone for now."""
+        """Return the targets whose retry is not due yet."""
         return {target for target, (_, until) in self._failures.items() if until > now}
--- a/src/persimmonhitch/decide/wait_limits.py
+++ b/src/persimmonhitch/decide/wait_limits.py
@@ -1,14 +1,14 @@
-"""How long a call waits for a place, and what it is told when there is none.
+"""Time limits of waiting requests, and the refusals after them.
 
-Load pattern: more is asked than the engines can give for seconds, or a model that is
-asked for is on no engine. A call that waits to its deadline and is refused then has
-cost its caller all the time in which it could have gone elsewhere or come back; one
-refused too early is lost although a place came free a moment later.
+Load pattern: for seconds, callers request more than the engines can serve, or a model
+that is resident on no engine. A request that is refused at its deadline has cost the
+caller all the time in which a retry or another service could have answered; a request
+refused too early fails although a slot became free a moment later.
 
-A call waits as long as its answer would still come on time, by its route's aim; after
-that a later try serves it no worse than waiting does. ``LEAST_WAIT`` keeps calls with
-hardly an aim from being refused by the delay of a message. Retry times are spread over
-``SPREAD``, so that those who were refused together don't come back together.
+A request waits as long as its answer can still meet the latency target of its route;
+after that a later retry serves the caller as well. ``MIN_WAIT_S`` keeps the
+delay of a message from refusing requests with hardly any latency target. Retry times
+are spread by ``RETRY_JITTER``, so that callers refused together do not retry together.
 """
 
 import random
@@ -19,45 +19,47 @@
 
 MIN_WAIT_S: Final = 0.05
 WAIT_SHARE: Final = 0.9
-"""Part of the aim that may pass before the call is sent; the rest is for its answer."""
+"""Share of the latency target that may elapse before the request is sent; the rest is
+for its answer."""
 RETRY_S: Final = 0.5
-"""Seconds after which a place may be free: about the time of a short answer."""
+"""Seconds after which a slot may be free: about the duration of a short answer."""
 LOAD_REPORT_TIMEOUT_S: Final = 0.5
-"""Seconds within which the holder of the lease of orders says that a load has begun;
-without its word none may come, since every place may hold what is asked for more."""
+"""Seconds within which the leader reports that a load has begun. Without a report there
+may be no load at all, since every slot may serve a model of higher demand."""
 LIMIT_REPLY_TIMEOUT_S: Final = 0.3
-"""Seconds within which a call is told whether there is a place for it at an upstream
-that limits its requests."""
+"""Seconds within which the leader answers whether an upstream that limits its requests
+accepts one more."""
 LOAD_WAIT_SHARE: Final = 0.6
-"""Part of its time that a call spends on a load: what is left has to do for the wait
-behind the others that waited for it, and for its answer."""
+"""Share of its time that a request spends on a load; the rest covers the queue of
+requests that waited for the same load, and the answer."""
 FIRST_EVENT_S: Final = 0.4
-"""Seconds from the end of a load to the first event: the adapter's order, the prompt,
-and those of others that waited for the same load."""
+"""Seconds from the end of a load to the first event: the adapter load and the prompt
+of this request and of others that waited for the same load."""
 RETRY_JITTER: Final = 0.5
-"""Part of a retry time by which it is lengthened at random."""
+"""Largest random extension of a retry time, as a share of it."""
 
 
 def wait_deadline(request: DispatchRequest) -> float:
-    """Return the monotonic time up to which a call waits for a place."""
+    """Return the monotonic time until which a request waits for a slot."""
     end = request.arrived + (request.latency_target_at - request.arrived) * WAIT_SHARE
     return min(request.deadline_at, max(end, request.arrived + MIN_WAIT_S))
 
 
 def load_wait_deadline(request: DispatchRequest) -> float:
-    """Return the monotonic time up to which a call waits for a model's load.
+    """Return the monotonic time until which a request waits for a model load.
 
-    A caller leaves a stream of which nothing comes, often long before its deadline. One
-    that waits for a load that ends after that gets no answer and no time to come back.
+    Callers disconnect from a stream without events, often long before their deadline. A
+    request that waits for a load past that moment gets no answer and no time to retry.
     """
     end = request.arrived + (request.deadline_at - request.arrived) * LOAD_WAIT_SHARE
     return min(end, request.first_event_by - FIRST_EVENT_S)
 
 
 def limit_refusal(request: DispatchRequest, wait: float | None) -> Failure:
-    """Return what a caller is told if all upstreams for its call limit their requests.
+    """Return the refusal of a request whose upstreams all limit their requests.
 
-    ``wait`` are the seconds until one of them takes another, None if not known.
+    ``wait`` is the time in seconds until one of them accepts another request, None if
+    unknown.
     """
     jitter = 1.0 + random.random() * RETRY_JITTER
     reason = (
@@ -68,9 +70,9 @@
 
 
 def refusal(step: Step, request: DispatchRequest, wait: float | None = None) -> Failure:
-    """Return what a caller is told whose call found no place.
+    """Return the refusal of a request that found no slot.
 
-    ``load_time`` are the seconds until its model is loaded, None if no load has begun.
+    ``wait`` is the time in seconds until its model is loaded, None without a load.
     """
     jitter = 1.0 + random.random() * RETRY_JITTER
     if step is Step.NO_UPSTREAM:
