--- a/src/persimmonhitch/decide/demand.py
+++ b/src/persimmonhitch/decide/demand.py
@@ -1,10 +1,11 @@
-"""What callers ask of each model, in tokens a second.
+"""Demand for each model, in tokens per second.
 
-Load pattern: demand for a model rises from nothing to a third of all within seconds,
-and calls for a rare one come once in a while. A slow average sees the first too late; a
-fast one forgets the second between two calls and gives its place away. The larger of a
-fast and a slow average is taken: ``FAST`` follows a rise within two seconds, ``SLOW``
-with ``SLOW_PART`` of its figure keeps what was asked for in the last half minute.
+Load pattern: demand for a model rises from nothing to a third of the total within
+seconds, and requests for a rare model arrive at long intervals. A slow average follows
+the rise too late; a fast one forgets the rare model between two requests, and the model
+is evicted. The larger of a fast and a slow average is used: ``FAST_TAU_S`` follows a
+rise within two seconds, and ``SLOW_TAU_S``, weighted by ``SLOW_WEIGHT``, retains the
+demand of the last half minute.
 """
 
 import math
@@ -16,7 +17,7 @@
 
 FAST_TAU_S: Final = 2.0
 SLOW_TAU_S: Final = 15.0
-"""Time constants in seconds."""
+"""Time constants of the averages."""
 SLOW_WEIGHT: Final = 0.5
 
 
@@ -28,7 +29,7 @@
 
 @dataclass
 class DemandTracker:
-    """Demand of all entries, from the sums that they tell."""
+    """Demand at all entries, from the running totals that they report."""
 
     _totals: dict[tuple[Vm, Model], float] = field(default_factory=dict)
     _new_tokens: dict[Model, float] = field(default_factory=dict)
@@ -37,7 +38,7 @@
     _updated_at: float | None = None
 
     def receive(self, vm: Vm, totals: Mapping[Model, float], now: float) -> None:
-        """Take the sums of one entry; an entry that starts anew begins at zero."""
+        """Add the totals of one entry; a restarted entry counts from zero."""
         for model, total in totals.items():
             previous = self._totals.get((vm, model), 0.0)
             added = total - previous if total >= previous else total
@@ -47,11 +48,11 @@
                 self._requested_at[model] = now
 
     def requested_at(self) -> dict[Model, float]:
-        """Return when each model was last asked for."""
+        """Return the time of the last request for each model."""
         return dict(self._requested_at)
 
     def rates(self, now: float) -> dict[Model, float]:
-        """Return the tokens a second of every model that was asked for."""
+        """Return the tokens per second of every model that was requested."""
         elapsed = now - self._updated_at if self._updated_at is not None else 1.0
         self._updated_at = now
         if elapsed > 0:
--- a/src/persimmonhitch/decide/drain_estimate.py
+++ b/src/persimmonhitch/decide/drain_estimate.py
@@ -1,26 +1,26 @@
-"""How long an unload takes whose model still runs calls.
+"""Expected duration of an unload whose model still runs requests.
 
-Load pattern: demand moves and a busy model is to make room for another one. Its unload
-waits for the calls that run, streams of seconds, and the engine takes no other order
-meanwhile; callers of the new model are refused for all that time. A model that runs
-nothing is gone at once. The time is learned from the unloads that were made.
+Load pattern: demand moves, and a busy model is evicted for another one. Its unload
+waits for the requests that run, streams of seconds, and the engine accepts no other
+order meanwhile; callers of the new model are refused for all that time. A model that
+runs no request is unloaded at once. The duration is learned from completed unloads.
 """
 
 from dataclasses import dataclass
 from typing import Final
 
 INITIAL_DRAIN_S: Final = 2.0
-"""Seconds that are assumed before one was seen: half of a common stream's time."""
+"""Estimate before the first unload: half the duration of a typical stream."""
 NEWEST_DRAIN_WEIGHT: Final = 0.3
-"""Weight of the newest unload in the time that is expected."""
+"""Weight of the newest unload in the estimate."""
 
 
 @dataclass
 class DrainEstimate:
-    """Seconds that unloads take which wait for calls."""
+    """Average duration of unloads that wait for requests."""
 
     expected_s: float = INITIAL_DRAIN_S
 
     def record(self, drain_s: float) -> None:
-        """Note an unload that waited for calls."""
+        """Record an unload that waited for requests."""
         self.expected_s += NEWEST_DRAIN_WEIGHT * (drain_s - self.expected_s)
--- a/src/persimmonhitch/decide/health.py
+++ b/src/persimmonhitch/decide/health.py
@@ -1,19 +1,21 @@
-"""How much work an upstream gets after it has failed.
-
-Load pattern: an upstream crashes, goes silent, or fails a part of its requests while
-its health check is good. Until its entry lapses, seconds later, every entry would go on
-sending it its full part of the calls, and those that may not be repeated are lost. When
-it is back, all entries would send it everything they have at once.
-
-A connection that is refused or times out takes an upstream out at once, since no call
-can run there: for ``OUT_FIRST``, doubled at each repeat up to ``OUT_MOST``. Answers
-that fail take it out after ``FAILURES`` of the last ``WINDOW``, as one that loses a
-part of its requests answers others between them. One that is silent while calls run
-there, for ``SILENT`` seconds, gets no more of them: a VM without power refuses nothing,
-and each call that it gets is lost only when its caller gives up.
-
-It returns with one call at a time, and from the first good answer by a part that rises
-over ``RETURN_SECONDS``, so that one that still fails is found out with few calls.
+"""Share of traffic that an upstream gets after failures.
+
+Load pattern: an upstream crashes, becomes unresponsive, or fails some of its requests
+while its health check is good. Until its record expires, seconds later, every entry
+would still send its full share of the requests there, and those that may not be
+repeated would be lost. On its return, all entries would send everything at once.
+
+A connection that is refused or times out ejects an upstream at once, since it can run
+no request: for ``MIN_EJECT_S``, doubled at each repeat up to ``MAX_EJECT_S``. Failed
+answers eject it after ``EJECT_AFTER_FAILURES`` of the last ``WINDOW_ANSWERS``, since an
+upstream that loses some requests answers others in between. An upstream without output
+for ``UNRESPONSIVE_AFTER_S`` while requests run there gets no more of them: a VM without
+power refuses no connection, and each request sent there is lost only when its
+caller gives up.
+
+An ejected upstream returns with one request at a time, and from its first good answer
+with a share that rises over ``RAMP_UP_S``, so that a fault that persists is found with
+few requests.
 """
 
 from collections.abc import Sequence
@@ -22,37 +24,37 @@
 
 MIN_EJECT_S: Final = 0.3
 MAX_EJECT_S: Final = 2.0
-"""Seconds that an upstream gets no call; a restart takes a few of them, and one that
-is gone for good leaves the list within about four."""
+"""Longest ejection. A restart takes a few seconds, and an upstream that has failed for
+good is removed from the list within about four."""
 WINDOW_ANSWERS: Final = 10
 EJECT_AFTER_FAILURES: Final = 4
-"""Failures among the last calls; an upstream that fails one in ten by chance reaches
-four of ten in one of a hundred windows."""
+"""Failures among the last answers that eject an upstream. With random failures of one
+in ten, four of ten occur in one of a hundred windows."""
 RAMP_UP_S: Final = 2.0
 MIN_TRAFFIC_SHARE: Final = 0.01
-"""Part of its work that is one call at a time."""
+"""Share at which an upstream gets one request at a time."""
 MAX_EJECTED_SHARE: Final = 0.34
-"""Part of a service's upstreams that may be kept from work because their answers fail.
-Where more of them fail the cause is not the upstream, and those that are left could
-not take the calls of all."""
+"""Share of a service's upstreams that failed answers may eject. Where more of them
+fail, the cause is not the upstream, and the remaining ones could not serve all requests."""
 UNRESPONSIVE_AFTER_S: Final = 0.7
-"""Seconds; engines send tokens each 10 to 50 ms, plain services answer in as many."""
+"""Seconds without output; engines send a token each 10 to 50 ms, and plain services
+answer within the same time."""
 
 
 @dataclass
 class UpstreamHealth:
-    """Successes and failures of one upstream; times are monotonic seconds."""
+    """Successes, failures and ejection of one upstream; times are monotonic seconds."""
 
     _failures: list[bool] = field(default_factory=list)
     _ejected_until: float = 0.0
     _ejection_s: float = 0.0
     reachable: bool = True
-    """Whether it took connections when it was last taken out."""
+    """Whether it accepted connections at its last ejection."""
     _recovering_since: float | None = None
-    """When the first good answer came since it was taken out."""
+    """Time of the first good answer after the ejection."""
 
     def succeeded(self, now: float) -> None:
-        """Note an answer that is as it should be."""
+        """Record a good answer."""
         self._record(False)
         if self._recovering_since is None:
             self._recovering_since = now
@@ -60,7 +62,7 @@
             self._ejection_s = 0.0
 
     def failed(self, now: float) -> bool:
-        """Note an answer that failed; return whether it takes the upstream out."""
+        """Record a failed answer; return whether the upstream is ejected for it."""
         self._record(True)
         if sum(self._failures) < EJECT_AFTER_FAILURES or now < self._ejected_until:
             return False
@@ -69,7 +71,7 @@
         return True
 
     def unreachable(self, now: float) -> bool:
-        """Note a connection that could not be made; return whether this is news."""
+        """Record a failed connection; return whether the upstream is ejected for it."""
         if now < self._ejected_until:
             return False
         self._eject(now)
@@ -87,7 +89,7 @@
         self._recovering_since = None
 
     def traffic_share(self, now: float) -> float:
-        """Return the part of its usual work that it gets now, from 0 to 1."""
+        """Return the share of the usual traffic that it gets now, from 0 to 1."""
         if now < self._ejected_until:
             return 0.0
         if self._ejection_s == 0.0:
@@ -99,12 +101,12 @@
 
 
 def traffic_shares(upstreams: Sequence[UpstreamHealth], now: float) -> list[float]:
-    """Return the parts of their usual work that the upstreams of a service get.
+    """Return the share of its usual traffic for each upstream of a service.
 
     Parameters
     ----------
-    trusts : sequence of Trust
-        One for each upstream.
+    upstreams : sequence of UpstreamHealth
+        Health of each upstream.
     now : float
         Monotonic seconds.
     """
@@ -116,13 +118,13 @@
 
 
 def is_unresponsive(running: int, output_at: float, idle_at: float, now: float) -> bool:
-    """Return whether an upstream has said nothing to the calls that run there.
+    """Return whether the requests at an upstream have received no output for a time.
 
     Parameters
     ----------
     running : int
-        Calls of this entry there.
-    heard_at, oldest_at : float
-        When it last said anything, and when it was last without a call.
+        Requests of this entry in progress at the upstream.
+    output_at, idle_at : float
+        When the upstream last sent output, and when it last had no request.
     """
     return running > 0 and now - max(output_at, idle_at) > UNRESPONSIVE_AFTER_S
--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -1,17 +1,18 @@
-"""Which calls crash the upstreams that run them.
-
-Load pattern: an upstream ends as soon as it begins to run a certain call, and the call
-comes again under other request ids, at any entry. Each repeat costs an upstream and all
-that runs there. What was lost beside it is repeated as well, and may be lost beside it
-again, so that being there when upstreams crash is no proof.
-
-Entries tell each other which calls were lost with an upstream, whether it has ended,
-and which calls have come to their end. Whatever runs to its end is cleared of the
-crashes before. A call to blame has just begun to run, or has not answered yet; one that
-has been answering for a while is accused only if no other is left. A crash at which a
-blocked call was lost is explained by it. A call that is accused of ``SUSPECT_CRASHES``
-runs apart from others like it and in one copy, so that the next crash has one cause.
-After ``CRASHES`` that nothing else explains it is blocked for ``BLOCKED_LIFE``.
+"""Attribute crashes of upstreams to the requests that cause them.
+
+Load pattern: an upstream crashes as soon as it begins to run a certain request, and the
+caller repeats the request under other ids, at any entry. Each repeat costs an upstream
+and all requests in progress there. These other requests are repeated as well and may
+be lost in the next crash too, so that presence at several crashes proves nothing.
+
+Entries report to each other which requests were lost with an upstream, whether its
+process has ended, and which requests have completed. A request that completes is
+cleared of earlier crashes. A crash is suspected of the requests that had just begun
+to run or had no answer yet; requests with an answer in progress for a time are
+suspected only if no others are left. A crash is explained if a blocked request was
+among its suspects. A request suspected of ``SUSPECT_CRASHES`` runs in isolation and in
+one copy, so that the next crash has one possible cause. After ``BLOCK_CRASHES`` that
+nothing else explains, the request is blocked for ``BLOCK_TTL_S``.
 """
 
 import math
@@ -25,34 +26,34 @@
 K = TypeVar("K")
 
 SUSPECT_CRASHES: Final = 2
-"""Crashes from which on a call runs apart. After one, most have only lost an answer and
-are sent again at once."""
+"""Crashes from which on a request runs in isolation. After one crash most requests have
+only lost an answer and are retried at once."""
 BLOCK_CRASHES: Final = 3
-"""Crashes of upstreams after which a call is blocked."""
+"""Unexplained crashes after which a request is blocked."""
 MAX_TIED: Final = 6
-"""Crashes after which calls are blocked that were lost together each time."""
+"""Crashes after which requests that were lost together each time are all blocked."""
 SETTLE_S: Final = 0.6
-"""Seconds after a crash by which all entries have told what they lost there; before
-that a call may seem to have been there alone."""
+"""Seconds after a crash until all entries have reported the requests they lost; before
+that, one request may appear to be the only suspect."""
 RECENT_START_S: Final = 1.0
-"""Seconds after the begin of its answer within which a call counts as just begun."""
+"""Seconds from the start of its answer during which a request counts as just begun."""
 BLOCK_TTL_S: Final = 3600.0
-"""Seconds; after that a new version of an upstream may run the call."""
+"""Duration of a block; a later version of the upstream may run the request."""
 UNCONFIRMED_TTL_S: Final = 5.0
-"""Seconds for which a crash is believed that nobody has confirmed."""
+"""Lifetime of a reported crash without confirmation."""
 CRASH_TTL_S: Final = 3600.0
 EVIDENCE_TTL_S: Final = 60.0
-"""Seconds for which a sign of innocence stands against reports that come late."""
+"""Seconds for which evidence against a crash overrides reports that arrive late."""
 MAX_CRASHES: Final = 64
 MAX_LOST: Final = 256
-"""Calls kept of one crash; an engine runs fewer."""
+"""Lost requests recorded per crash; an engine runs fewer."""
 MAX_EVIDENCE: Final = 1024
 MAX_BLOCKED: Final = 1024
 
 
 @dataclass(frozen=True)
 class UpstreamInstance:
-    """One life of an upstream; it may start anew under its name."""
+    """One run of an upstream; it may restart under the same name."""
 
     name: Upstream
     started_at_ms: int
@@ -60,31 +61,31 @@
 
 @dataclass(frozen=True)
 class CrashCounts:
-    """Crashes that a call is accused of."""
+    """Crashes that a request is suspected of."""
 
     reported: int = 0
-    """All of them, confirmed or not, explained or not."""
+    """All crashes, confirmed or not, explained or not."""
     confirmed: int = 0
     unexplained: int = 0
-    """Confirmed ones that no blocked call explains."""
+    """Confirmed crashes that no blocked request explains."""
     weight: float = 0.0
-    """Those, each divided by the calls that it accuses."""
+    """Sum over the unexplained crashes of one divided by the number of suspects."""
     latest_at: float = -math.inf
-    """When the newest of them happened, or was first heard of if that is later."""
+    """When the latest crash happened or was first reported, whichever is later."""
 
 
 @dataclass
 class _Crash:
     at: float
     received_at: float
-    """When this entry first heard of it."""
+    """When this entry received the first report of the crash."""
     confirmed: bool = False
     lost: dict[Fingerprint, bool] = field(default_factory=dict)
-    """The calls lost there, and whether each had just begun or not yet answered."""
+    """Lost requests, and whether each had just begun or had no answer yet."""
 
 
 class CrashHistory:
-    """Crashes and the calls that were lost with them; times are monotonic seconds."""
+    """Crashes and the requests lost with them; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._crashes: OrderedDict[UpstreamInstance, _Crash] = OrderedDict()
@@ -102,7 +103,7 @@
         at: float,
         now: float,
     ) -> None:
-        """Take calls that were lost with an upstream, maybe since it crashed."""
+        """Record requests lost with an upstream, possibly because it crashed."""
         if self._alive.get(instance, -math.inf) >= at:
             return
         crash = self._crashes.setdefault(instance, _Crash(at, now))
@@ -116,7 +117,7 @@
         self._cached_counts = None
 
     def confirm(self, instance: UpstreamInstance) -> bool:
-        """Note that an upstream has ended; return whether that is new."""
+        """Confirm that an upstream has ended; return whether this is new."""
         crash = self._crashes.get(instance)
         if crash is None or crash.confirmed:
             return False
@@ -125,7 +126,7 @@
         return True
 
     def record_alive(self, instance: UpstreamInstance, at: float) -> bool:
-        """Note that an upstream lived; return whether that refutes a crash."""
+        """Record that an upstream was alive; return whether this refutes a crash."""
         crash = self._crashes.get(instance)
         _record_latest(self._alive, instance, at)
         if crash is None or crash.at > at:
@@ -135,7 +136,7 @@
         return True
 
     def record_completed(self, fingerprint: Fingerprint, at: float) -> bool:
-        """Note that a call came to its end; return whether that clears it."""
+        """Record that a request completed; return whether this clears it of a crash."""
         _record_latest(self._completed, fingerprint, at)
         cleared = False
         for crash in self._crashes.values():
@@ -146,7 +147,7 @@
         return cleared
 
     def block(self, fingerprint: Fingerprint, until: float) -> bool:
-        """Block a call; return whether it was not blocked before."""
+        """Block a request; return whether the block is new."""
         is_new = fingerprint not in self._blocked
         self._blocked[fingerprint] = max(
             until, self._blocked.get(fingerprint, -math.inf)
@@ -156,10 +157,10 @@
         self._cached_counts = None
         return is_new
 
-    # -- judgement ---------------------------------------------------------------
+    # -- attribution -------------------------------------------------------------
 
     def block_attributed(self, now: float) -> list[Fingerprint]:
-        """Block what is to blame by now; return those calls."""
+        """Block the requests to which crashes are attributed; return them."""
         blocked = []
         while (fingerprint := self._next_attributed(now)) is not None:
             self.block(fingerprint, now + BLOCK_TTL_S)
@@ -172,7 +173,7 @@
             for fingerprint, counts in self._counts().items()
             if counts.unexplained >= BLOCK_CRASHES and fingerprint not in self._blocked
         ]
-        # The clearest first: what it explains may be all there is against others.
+        # Highest weight first: its block may explain all crashes of other candidates.
         for _, fingerprint, counts in sorted(candidates, key=lambda c: c[:2]):
             if now - counts.latest_at < SETTLE_S:
                 return None
@@ -181,7 +182,7 @@
         return None
 
     def _is_tied(self, fingerprint: Fingerprint, counts: CrashCounts) -> bool:
-        """Return whether another call is as suspect at the newest crash of this one."""
+        """Return whether another suspect of the latest crash has as many crashes."""
         suspects = (
             self._suspected(crash)
             for crash in self._newest_first()
@@ -218,43 +219,43 @@
     def _is_explained(self, crash: _Crash) -> bool:
         return any(suspect in self._blocked for suspect in self._suspected(crash))
 
-    # -- what is known -----------------------------------------------------------
+    # -- queries -----------------------------------------------------------------
 
     def crash_counts(self, fingerprint: Fingerprint) -> CrashCounts | None:
-        """Return what a call is accused of."""
+        """Return the crashes that a request is suspected of."""
         return self._counts().get(fingerprint)
 
     def awaits_confirmation(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Return whether a call may be blocked once all is known of its crashes."""
+        """Return whether a request may be blocked once its crashes are confirmed."""
         counts = self.crash_counts(fingerprint)
         if counts is None or counts.reported < BLOCK_CRASHES:
             return False
         return counts.confirmed < counts.reported or now - counts.latest_at < SETTLE_S
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Return whether a call has to run apart."""
+        """Return whether a request has to run in isolation."""
         counts = self.crash_counts(fingerprint)
         return counts is not None and counts.reported >= SUSPECT_CRASHES
 
     def suspects(self) -> Iterable[Fingerprint]:
-        """Return all calls that have to run apart."""
+        """Return all requests that have to run in isolation."""
         return filter(self.is_suspect, self._counts())
 
     def has_crashed(self, instance: UpstreamInstance) -> bool:
-        """Return whether an upstream is taken to have ended."""
+        """Return whether an upstream is reported to have crashed."""
         return instance in self._crashes
 
     def blocked_for(self, fingerprint: Fingerprint, now: float) -> float | None:
-        """Return the seconds for which a call stays blocked, None if it is not."""
+        """Return the seconds for which a request stays blocked, None if it is not."""
         until = self._blocked.get(fingerprint)
         return None if until is None or until <= now else until - now
 
     def blocked(self) -> Mapping[Fingerprint, float]:
-        """Return blocked calls with the time until which they are."""
+        """Return the blocked requests and the end of each block."""
         return self._blocked
 
     def expire(self, now: float) -> None:
-        """Forget what is old."""
+        """Remove expired crashes, blocks and evidence."""
         self._crashes = OrderedDict(
             (instance, crash)
             for instance, crash in self._crashes.items()
--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -1,16 +1,17 @@
-"""How many requests an upstream in need gets from all entries together.
-
-Load pattern: an upstream says in its answers how many requests a second it takes, often
-fewer than there are entries. A part of that for each entry would be less than one call
-in seconds, most of it lying unused where no callers are; and buckets that learn late
-what others have sent all find the same place at the same moment.
-
-So one entry, the holder of the lease of orders, grants places: a bucket of the
-upstream's rate, from which its own orders and reports are taken as well. The others ask
-for one place at a time and are told when to ask again. An entry that gets no answer has
-an equal part of the rate, and begins with nothing: a coordinator that has died has
-granted the rest. A place that is not used within ``GRANT_LIFE`` lapses, so that places
-of several seconds are not used at once.
+"""Rate of requests that all entries together send to an upstream that limits them.
+
+Load pattern: an upstream states in its answers how many requests a second it accepts,
+often fewer than there are entries. An equal share for each entry would be less than one
+request in several seconds, and most of it would be unused at entries without callers.
+Buckets that learn late of what others sent would all find the same slot at the same
+moment.
+
+One entry, the leader, therefore grants requests from a bucket at the rate of the
+upstream, from which its own load orders and inventory reports are taken as well. Other
+entries ask for one request at a time and are told when to ask again. An entry that gets
+no reply falls back to an equal share of the rate and starts with an empty bucket, since
+a failed leader may have granted the rest. A grant expires after ``GRANT_TTL_S``, so
+that grants of several seconds are not used at once.
 """
 
 import math
@@ -21,26 +22,26 @@
 from ..limits.pooled import PooledBucket
 
 MIN_RATE_PER_S: Final = 0.5
-"""Requests a second that are sent to an upstream that says it takes fewer, or none:
-without an answer nobody would learn that its need is over."""
+"""Requests per second sent to an upstream that accepts fewer or none: without an answer
+no entry would learn that the limit has been lifted."""
 FALLBACK_RATE_PER_S: Final = 1.0
-"""Requests a second where what an upstream says can't be read."""
+"""Requests per second where the stated limit is malformed."""
 BURST_REQUESTS: Final = 1.0
 BURST_S: Final = 0.25
-"""A bucket holds ``BURST`` requests and those of so many seconds."""
+"""The capacity of a bucket is ``BURST_REQUESTS`` plus the requests of this time."""
 MAX_ORDER_OVERDRAFT: Final = 1.0
-"""Requests by which orders may be ahead of the rate; they bring the models that calls
+"""Requests by which load orders may exceed the rate; they load the models that requests
 wait for."""
 REPORT_INTERVAL_S: Final = 1.0
-"""Seconds between two reports that are asked for, so that they leave room for calls."""
+"""Seconds between inventory reports, which leaves most of the rate to requests."""
 GRANT_TTL_S: Final = 0.6
 REPLY_TIMEOUT_S: Final = 0.4
-"""Seconds after which an entry that asked for a place no longer awaits an answer."""
+"""Seconds after which an entry stops waiting for the leader's reply."""
 ONE_REQUEST: Final = Tokens(1.0)
 
 
 def effective_rate(reported: float | None, previous: float | None = None) -> float:
-    """Return the rate that is kept to; what can't be read stays as it was."""
+    """Return the rate to apply; a malformed limit leaves the rate unchanged."""
     if reported is not None:
         return max(reported, MIN_RATE_PER_S)
     return FALLBACK_RATE_PER_S if previous is None else previous
@@ -48,7 +49,7 @@
 
 @dataclass
 class GrantBucket:
-    """Places of one upstream, as the coordinator gives them out."""
+    """Bucket from which the leader grants requests to one upstream."""
 
     rate: float
     created_at: float
@@ -61,18 +62,18 @@
         self._bucket.level = min(BURST_REQUESTS, burst)
 
     def resize(self, rate: float) -> None:
-        """Take a new rate."""
+        """Apply a new rate."""
         if rate != self.rate:
             self.rate = rate
             self._bucket.resize(rate, BURST_REQUESTS + rate * BURST_S)
 
     def take_request(self, now: float) -> float:
-        """Take a place for a call; return 0, or the seconds until there is one."""
+        """Grant a request; return 0, or the seconds until the next can be granted."""
         self._bucket.advance(now, 0, 1)
         return self._bucket.spend(ONE_REQUEST) or 0.0
 
     def take_order(self, now: float) -> bool:
-        """Take a place for an order; return whether there is one."""
+        """Take one load order from the bucket; return whether the rate allows it."""
         self._bucket.advance(now, 0, 1)
         if self._bucket.level + MAX_ORDER_OVERDRAFT < ONE_REQUEST:
             return False
@@ -80,7 +81,7 @@
         return True
 
     def take_report(self, now: float) -> bool:
-        """Take a place for a report; return whether there is one."""
+        """Take one report from the bucket; return whether the rate allows it."""
         if now - self.reported_at < REPORT_INTERVAL_S or self.take_request(now) > 0:
             return False
         self.reported_at = now
@@ -89,19 +90,19 @@
 
 @dataclass
 class Allowance:
-    """What one entry may send to one upstream; times are monotonic seconds."""
+    """Requests that one entry may send to one upstream; times are monotonic seconds."""
 
     rate: float
     grant_expiries: list[float] = field(default_factory=list)
-    """Until when each place may be used."""
+    """Expiry of each unused grant."""
     requested_at: float | None = None
-    """When it asked for a place, if it waits for an answer."""
+    """When the entry asked for a grant, None if no reply is due."""
     next_grant_at: float = -math.inf
     _fallback: PooledBucket | None = None
-    """Its own part, while no coordinator answers."""
+    """Equal share of the rate, while the leader does not reply."""
 
     def can_send(self, now: float) -> bool:
-        """Return whether a call may be sent now."""
+        """Return whether a request may be sent now."""
         self.grant_expiries = [until for until in self.grant_expiries if until > now]
         if not self.grant_expiries and self._fallback is not None:
             self._fallback.advance(now, 0, 1)
@@ -110,12 +111,12 @@
         return bool(self.grant_expiries)
 
     def consume(self) -> None:
-        """Count a call that is sent."""
+        """Use a grant for a request that is sent."""
         if self.grant_expiries:
             self.grant_expiries.pop(0)
 
     def should_ask(self, now: float, entries: int) -> bool:
-        """Return whether to ask for a place now, and note it."""
+        """Return whether to ask for a grant now, and record that it was asked for."""
         if self.requested_at is not None and now - self.requested_at < REPLY_TIMEOUT_S:
             return False
         if self.requested_at is not None:
@@ -133,7 +134,7 @@
         self._fallback.resize(rate, ONE_REQUEST)
 
     def receive_reply(self, wait: float, now: float) -> None:
-        """Take the coordinator's answer: a place, or the seconds until the next."""
+        """Apply the leader's reply: a grant, or the seconds until the next one."""
         self.requested_at, self._fallback = None, None
         if wait > 0:
             self.next_grant_at = now + wait
@@ -141,7 +142,7 @@
             self.grant_expiries.append(now + GRANT_TTL_S)
 
     def wait_time(self, now: float) -> float | None:
-        """Return the seconds until a call may be sent, None if that is not known."""
+        """Return the seconds until a request may be sent, None if unknown."""
         if self.grant_expiries:
             return 0.0
         if self._fallback is not None:
--- a/src/persimmonhitch/decide/waiting.py
+++ b/src/persimmonhitch/decide/waiting.py
@@ -1,15 +1,16 @@
-"""How long a request waits for a model that no upstream serves yet.
+"""Expected wait for a model that no upstream serves yet.
 
-Load pattern: the last copy of a model has died, or its first one is on its way, while
-its callers keep coming. Refused at once, all of them see errors for a load that ends in
-seconds; left waiting to their deadlines, those with little time learn too late that
-there was no hope, and their threads are missing to others.
+Load pattern: the last copy of a model has failed, or its first one is loading, while
+requests for it still arrive. Refused at once, all callers see errors for a load that
+ends in seconds. Left to wait until their deadlines, requests with little time are
+refused too late to retry, and occupy threads that others need.
 
-The wait expected is the usual time of a load less the time the model has been missing.
-``FIRST_LOAD`` stands in until a load was seen: the time of a load at the weight store's
-stand-in; ``FIRST_RESTART`` is that of a service's sidecar, which loads nothing. A load
-that is overdue may end at any moment, hence ``LEAST_LEFT``; one that is overdue by
-``GIVE_UP`` usual times is not counted on.
+The expected wait is the typical duration of a load less the time for which the model
+has been missing. ``INITIAL_LOAD_S`` is used until a load was recorded: the duration of
+a load from the weight store's stand-in. ``INITIAL_RESTART_S`` is that of a service's
+sidecar, which loads no model. A load that takes longer than usual may end at any
+moment, hence ``MIN_REMAINING_S``; after ``MAX_OVERDUE_FACTOR`` typical durations it
+counts as failed, and a whole load is expected.
 """
 
 from typing import Final
@@ -22,16 +23,16 @@
 MIN_REMAINING_S: Final = 1.0
 MAX_OVERDUE_FACTOR: Final = 4.0
 NEWEST_WEIGHT: Final = 0.3
-"""Weight of the newest load in the usual time."""
+"""Weight of the newest load in the typical duration."""
 
 
 class LoadWaitEstimator:
-    """What one entry has seen of models, or services, that nobody served.
+    """Estimates the wait for models, or services, without any serving copy.
 
     Parameters
     ----------
-    usual : float
-        Seconds that one is missing, until some have been seen.
+    typical_s : float
+        Initial estimate of the time for which a model is missing.
     """
 
     def __init__(self, typical_s: float) -> None:
@@ -39,24 +40,24 @@
         self._since: dict[Model, float] = {}
 
     def record_missing(self, model: Model, now: float) -> None:
-        """Note that no copy serves a model."""
+        """Record that no copy serves a model."""
         self._since.setdefault(model, now)
 
     def record_served(self, model: Model, now: float) -> None:
-        """Note that a copy serves a model; one that was missing has been loaded."""
+        """Record that a copy serves a model, which ends a load if it was missing."""
         since = self._since.pop(model, None)
         if since is not None:
             self.typical_s += NEWEST_WEIGHT * (now - since - self.typical_s)
 
     def remaining(self, model: Model, now: float) -> float:
-        """Return the seconds until a copy is expected."""
+        """Return the seconds until a copy is expected to serve a model."""
         missing_s = now - self._since.get(model, now)
         if missing_s > MAX_OVERDUE_FACTOR * self.typical_s:
             return self.typical_s
         return max(self.typical_s - missing_s, MIN_REMAINING_S)
 
     def refusal(self, model: Model, now: float, deadline_at: float) -> Failure | None:
-        """Return why a request should not wait, or None if it should."""
+        """Return the refusal of a request that can't wait, or None if it can."""
         remaining_s = self.remaining(model, now)
         if now + remaining_s <= deadline_at:
             return None
