--- a/src/persimmonhitch/decide/health.py
+++ b/src/persimmonhitch/decide/health.py
@@ -35,7 +35,7 @@
 """Share at which an upstream gets one request at a time."""
 MAX_EJECTED_SHARE: Final = 0.34
 """Share of a service's upstreams that failed answers may eject. Where more of them
-fail, the cause is not the upstream, and the remaining ones could not serve all requests."""
+fail, the cause is not the upstream, and the others could not serve all requests."""
 UNRESPONSIVE_AFTER_S: Final = 0.7
 """Seconds without output; engines send a token each 10 to 50 ms, and plain services
 answer within the same time."""
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -1,21 +1,22 @@
-"""Which models the engines of a service hold, as demand moves within seconds.
+"""Decide which models the engines of a service load and evict.
 
 Load pattern: many models share few engines, each engine has room for two or three, a
-few models get most calls, and which ones these are changes every few seconds. A model
-that nobody holds refuses all of its callers until a load has ended; one whose only copy
-is on a full engine makes its callers wait while other engines are idle.
-
-Demand is in parts of what one engine reads. A copy serves up to ``COMFORT`` of it;
-what more is asked of a model waits. The relief that a further copy gives is the demand
-that no longer waits, and what it costs is the demand that does once others have made
-room for it. A model's last copy counts for its whole demand, ``LAST_COPY`` times, since
-all of its callers are refused without it. Copies beyond what the demand needs are worth
-the little by which they spread it, a last copy without demand ``IDLE_VALUE``.
-
-A move is made only if the relief is ``GAIN`` times the cost, and above a floor that
-grows with the time until it serves; a model that has just been loaded stays for
-``SETTLED``. Else models that are asked for now and then take each other's place
-without end, and each is on its way whenever a call comes for it.
+few models get most requests, and the set of these changes every few seconds. All
+requests for a model that is resident nowhere are refused until a load has ended; those
+for a model whose only copy is on a full engine wait while other engines are idle.
+
+Demand is expressed in shares of the tokens that one engine reads. A copy serves up to
+``COPY_CAPACITY``; demand beyond that queues. The relief of a further copy is the demand
+that no longer queues, and its cost is the demand that queues once other models are
+evicted for it. The last copy of a model counts for its whole demand times
+``LAST_COPY_WEIGHT``, since all of its callers are refused without it. Copies beyond the
+demand are worth a small share of it, because they spread the requests, and a last copy
+without demand is worth ``IDLE_COPY_VALUE``.
+
+A move is made only if the relief exceeds ``MIN_RELIEF_RATIO`` times the cost and a
+floor that grows with the time until the copy serves; a model stays for ``SETTLE_S``
+after its load. Otherwise models with rare requests would evict each other without end,
+and each would still be loading when a request for it arrives.
 """
 
 import math
@@ -27,42 +28,43 @@
 from ..ids import Model, Upstream
 
 LAST_COPY_WEIGHT: Final = 3.0
-"""Times the demand that the last copy of a model is worth."""
+"""Value of the last copy of a model as a multiple of its demand."""
 MIN_RELIEF_RATIO: Final = 1.5
-"""Times by which the relief of a further copy must exceed what it displaces."""
+"""Smallest ratio of the relief of a further copy to the value of evicted copies."""
 MIN_RELIEF_PER_S: Final = 0.016
-"""Relief that a second of loading must bring for a further copy."""
+"""Smallest relief of a further copy per second of its load."""
 MIN_URGENT: Final = 0.25
-"""Relief from which a load may begin on any engine: the last copy of a model that gets
-a call a second. Others leave two thirds of the engines free of loads, since a load for
-a rare model would else keep a busy one waiting that is asked for a moment later."""
+"""Relief from which a load is urgent and may start on any engine: that of the first
+copy of a model with one request per second. Other loads leave two thirds of the engines
+free, since the load of a rare model would otherwise delay that of a busy model that is
+requested a moment later."""
 ENGINES_PER_RARE_LOAD: Final = 3
-"""One in so many engines may load at a time what is not urgent."""
+"""Engines per concurrent load that is not urgent."""
 DISRUPTION_PER_S: Final = 0.05
-"""Part of the demand for models with adapters that a second of loading disturbs: an
-engine takes no order for an adapter while it loads a model."""
+"""Share of the demand for models with adapters that is lost per second of loading: an
+engine accepts no adapter load while it loads a model."""
 IDLE_COPY_VALUE: Final = 0.004
-"""Part of an engine that a last copy is worth once its demand has ended. It is little,
-since an engine that had a model before has it back from its disk within two seconds."""
+"""Value of a last copy after its demand has ended, as a share of an engine. It is low,
+since an engine reloads such a model from its disk within two seconds."""
 NEW_COPY_VALUE: Final = 0.08
-"""Part of an engine that a last copy is worth which nobody has asked for yet: one call
-a second. Demand moves on to such models; those it has left come back later."""
+"""Value of a last copy that has not been requested yet, as a share of an engine: one
+request per second. Demand moves to such models sooner than back to earlier ones."""
 COPY_CAPACITY: Final = 0.5
-"""Part of what an engine reads that one copy serves without a wait."""
+"""Share of the tokens read by an engine that one copy serves without a queue."""
 EXTRA_COPY_WEIGHT: Final = 0.3
-"""Part of a copy's demand that a copy beyond need is worth."""
+"""Value of a copy beyond the demand, as a share of the demand per copy."""
 OVERDUE_AFTER_S: Final = 6.0
-"""Seconds after which a model is loaded that is asked for and that nobody holds,
-whatever it displaces: two thirds of a load from the weight store. By its worth alone a
-model with a call each second or two never gets a place while others are asked for more
-than the engines can give, and all of its callers are refused for as long."""
+"""Seconds after which a missing model is loaded whatever it evicts: two thirds of
+a load from the weight store. By its value alone, a model with a request every second or
+two would never be loaded while the demand for other models exceeds the capacity of the
+engines, and all of its callers would be refused for as long."""
 SETTLE_S: Final = 3.0
-"""Seconds that a model stays after its load, twice the time of a load from disk."""
+"""Seconds without eviction after a load: twice the duration of a load from disk."""
 
 
 @dataclass(frozen=True)
 class EngineView:
-    """One engine; memory in MB. It can take an order in ``busy_for`` seconds."""
+    """State of one engine, which accepts an order in ``busy_s`` seconds."""
 
     upstream: Upstream
     memory_mb: float
@@ -71,20 +73,20 @@
     busy_s: float = 0.0
     loading: frozenset[Model] = frozenset()
     load_overdue: bool = False
-    """Whether what it loads should have been there by now."""
+    """Whether the model in ``loading`` should be resident by now."""
     evicting: frozenset[Model] = frozenset()
     in_memory: frozenset[Model] = frozenset()
     on_disk: frozenset[Model] = frozenset()
     settling: frozenset[Model] = frozenset()
-    """Models that were loaded less than ``SETTLED`` ago."""
+    """Models that were loaded less than ``SETTLE_S`` ago."""
     in_use: frozenset[Model] = frozenset()
-    """Models that calls use; their unload waits for these, for ``drain`` seconds."""
+    """Models that requests use; their unload waits ``drain_s`` for the requests."""
     drain_s: float = 0.0
 
 
 @dataclass(frozen=True)
 class Move:
-    """One load, and the models that make room for it."""
+    """One load, and the models that are evicted for it."""
 
     model: Model
     upstream: Upstream
@@ -93,11 +95,11 @@
     """Whether the weights come from the weight store, whose rate is limited."""
     load_s: float
     drain_s: float = 0.0
-    """Seconds before the load in which victims wait for their calls to end."""
+    """Seconds before the load in which requests of evicted models end."""
 
     @property
     def total_s(self) -> float:
-        """Return the seconds until the model serves."""
+        """Return the seconds until the model serves requests."""
         return self.drain_s + self.load_s
 
 
@@ -114,22 +116,22 @@
                 self.copies[model] = self.copies.get(model, 0) + 1
 
     def load_count(self) -> int:
-        """Return the engines that load a model now."""
+        """Return the number of engines that are loading a model."""
         return sum(bool(engine.loading) for engine in self.engines)
 
     def max_rare_loads(self) -> int:
-        """Return the engines that may load at a time what is not urgent."""
+        """Return the number of loads at which only urgent ones may start."""
         return max(1, len(self.engines) // ENGINES_PER_RARE_LOAD)
 
     def relief(self, model: Model) -> float:
-        """Return what one more copy of a model is worth."""
+        """Return the demand that one more copy of a model relieves."""
         count, demand = self.copies.get(model, 0), self.demand.get(model, 0.0)
         if count == 0:
             return demand * LAST_COPY_WEIGHT
         return _queued_demand(demand, count) - _queued_demand(demand, count + 1)
 
     def copy_value(self, model: Model) -> float:
-        """Return what one copy of a model is worth."""
+        """Return the value of one copy of a model."""
         count, demand = self.copies.get(model, 0), self.demand.get(model, 0.0)
         if count <= 1:
             floor = IDLE_COPY_VALUE if model in self.demand else NEW_COPY_VALUE
@@ -139,7 +141,7 @@
 
 
 def _queued_demand(demand: float, copies: int) -> float:
-    """Return the demand that waits with a number of copies."""
+    """Return the demand beyond the capacity of a number of copies."""
     return max(0.0, demand - copies * COPY_CAPACITY)
 
 
@@ -149,7 +151,7 @@
     engines: Iterable[EngineView],
     cold_allowed: bool,
 ) -> Move | None:
-    """Return the load that helps most now, or None if none is worth its cost."""
+    """Return the load with the largest gain, or None if none exceeds its cost."""
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in demand if m in specs and state.relief(m) > 0]
     best_moves = [_best(state, model, cold_allowed) for model in requested]
@@ -167,14 +169,14 @@
 ) -> Move | None:
     """Return a load for the model whose callers have been refused for longest.
 
-    ``missing_for`` are the seconds since each model was asked for that nobody holds,
-    ``loading`` the overdue models that engines load already. A load from near goes
-    first, and what displaces least; None if none is overdue.
+    ``missing_for`` gives the seconds for which each model has been missing, ``loading``
+    the overdue models that engines are loading already. Engines with cached weights are
+    preferred, then evictions of low value. Return None if no model is overdue.
 
-    While few engines load anything, several load overdue models at a time. One after
-    the other, callers of the last would wait for the loads of all before it; while many
-    engines load, more of them would keep models waiting that are asked for far more. A
-    load that is late, such as one whose order was lost, holds back no other.
+    While few engines are loading, several overdue models may load at a time. One after
+    the other, callers of the last model would wait for the loads of all others. While
+    many engines are loading, further overdue loads would delay models of far higher
+    demand. An overdue load, such as one whose order was lost, delays no other.
     """
     state = _PlacementState(specs, demand, list(engines))
     busy = [e for e in state.engines if not e.load_overdue and e.loading & set(loading)]
@@ -203,7 +205,7 @@
 
 
 def _best(state: _PlacementState, model: Model, cold_allowed: bool) -> _Gain | None:
-    """Return the best load of one model, if any is worth its cost."""
+    """Return the load of one model with the largest gain, if any exceeds its cost."""
     best: _Gain | None = None
     relief = state.relief(model)
     if relief < MIN_URGENT and state.load_count() >= state.max_rare_loads():
@@ -217,14 +219,14 @@
             continue
         remote = delay == math.inf
         if move.cold and (delay < move.load_s or (relief < MIN_URGENT and not remote)):
-            # A load from the weight store keeps an engine from taking other orders
-            # for several times as long; a place near the weights comes free sooner.
+            # A load from the weight store occupies an engine for several times as long;
+            # an engine with cached weights becomes free sooner.
             continue
         evicted_value = _evicted_value(state, move)
         floor = MIN_RELIEF_PER_S * move.total_s if state.copies.get(model) else 0.0
         gain = relief - MIN_RELIEF_RATIO * evicted_value - floor
         gain -= DISRUPTION_PER_S * move.total_s * _disrupted_demand(state, engine, move)
-        # The sooner of two equal places: callers wait for its load.
+        # Of two equal loads, prefer the one that ends sooner: callers wait for it.
         gain /= 1.0 + move.total_s
         if gain > 0 and (best is None or gain > best.gain):
             best = _Gain(gain, move)
@@ -232,7 +234,7 @@
 
 
 def _cached_load_delay(state: _PlacementState, model: Model) -> float:
-    """Return the seconds until a copy can be loaded from near, or infinity."""
+    """Return the seconds to a copy loaded from cached weights, infinity without any."""
     spec = state.specs[model]
     times = [
         engine.busy_s + spec.load_disk
@@ -249,13 +251,14 @@
     engines: Iterable[EngineView],
     missing: Iterable[Model] = (),
 ) -> Move | None:
-    """Return a load for a model whose weights are near no engine, while one is idle.
+    """Return a load that caches the weights of an uncached model on an idle engine.
 
-    ``able`` are those of the engines that may be used for it. What callers ask for and
-    nobody holds, ``missing``, goes first.
+    ``usable`` gives the engines that may be used for it. Models that are requested and
+    resident nowhere, ``missing``, come first.
 
-    Its first callers would else wait for a load from the weight store, which takes
-    several times as long as one from a disk, and longer than many of them have.
+    Otherwise the first callers of such a model would wait for a load from the weight
+    store, which takes several times as long as one from a disk, and longer than the
+    deadlines of many requests.
     """
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in missing if m in specs and not state.copies.get(m)]
@@ -278,10 +281,11 @@
     engines: Iterable[EngineView],
     initial_models: Mapping[Upstream, frozenset[Model]],
 ) -> Move | None:
-    """Return a load that brings back what staging took from its place.
+    """Return a load that restores a model that staging has evicted.
 
-    What engines held when they were first seen was put there by whoever knows which
-    models are busy. Only while nobody asks for anything; demand decides after that.
+    The models initially resident on an engine were placed by an operator who knows
+    which models are busy. They are restored only without any demand; with demand,
+    ``next_move`` decides.
     """
     state = _PlacementState(specs, demand, list(engines))
     if any(demand.values()):
@@ -304,16 +308,16 @@
 
 
 def _staging_cost(state: _PlacementState, move: Move) -> tuple[int, int]:
-    """Prefer few victims, and models with few copies: more were put there for a reason.
+    """Prefer few evictions, and models with few copies: further copies have a reason.
 
-    What staging takes comes back, but a busy model that has lost a copy when the first
-    callers come makes all of them wait.
+    Evicted models are restored later, but if a busy model has lost a copy when its
+    first callers arrive, all of them wait.
     """
     return len(move.evicted), sum(state.copies.get(model, 1) for model in move.evicted)
 
 
 def _disrupted_demand(state: _PlacementState, engine: EngineView, move: Move) -> float:
-    """Return the demand at an engine for models whose adapters it could not load."""
+    """Return the demand at an engine for models that could not load adapters."""
     remaining = engine.models - engine.evicting - frozenset(move.evicted)
     return sum(
         state.demand.get(model, 0.0) / max(1, state.copies.get(model, 1))
