--- a/tests/test_blocked_calls.py
+++ b/tests/test_blocked_calls.py
@@ -20,98 +20,100 @@
 from persimmonhitch.web import WebServer
 
 BAD = Fingerprint("bad")
-LIFE = 100.0
+BLOCK_DURATION_S = 100.0
 
 
 class Entry:
     """What an entry has of blocked calls, with a clock that stands."""
 
-    def __init__(self, store, place=0):
+    def __init__(self, store, rank=0):
         self.now = time.monotonic()
         self.guard = PoisonGuard(Vm("e1"), lambda: self.now)
         self.store = store
-        self.calls = BlockedRequests(store, self.guard, lambda: place, lambda: self.now)
+        self.blocked = BlockedRequests(
+            store, self.guard, lambda: rank, lambda: self.now
+        )
 
     def block(self):
-        self.guard.receive_blocked({BAD: self.now + LIFE})
+        self.guard.receive_blocked({BAD: self.now + BLOCK_DURATION_S})
 
-    def read(self):
+    def load_listing(self):
         listing = self.store.list_all(Kind.BLOCKED).unwrap()
-        self.calls.update(View({obj.name: obj for obj in listing.items}, self.now))
+        self.blocked.update(View({obj.name: obj for obj in listing.items}, self.now))
 
 
-def stored(store):
+def stored_names(store):
     return [obj.name for obj in store.list_all(Kind.BLOCKED).unwrap().items]
 
 
-def with_store(test):
+def run_with_store(scenario):
     server = WebServer(StoreApp(StoreState()), "127.0.0.1", 0, 4)
     server.start()
     try:
-        test(StoreClient(f"http://127.0.0.1:{server.port}", 2.0))
+        scenario(StoreClient(f"http://127.0.0.1:{server.port}", 2.0))
     finally:
         server.close()
 
 
-def test_an_entry_that_starts_knows_what_others_have_blocked():
+def test_a_new_entry_reads_blocked_requests_from_the_store():
     """Guards against an entry that sends once more what has crashed upstreams."""
 
-    def play(store):
+    def scenario(store):
         first, second = Entry(store), Entry(store)
         for entry in (first, second):
-            entry.read()
+            entry.load_listing()
         first.block()
-        first.calls.sync()
-        second.read()
+        first.blocked.sync()
+        second.load_listing()
         refused = second.guard.refusal(BAD)
         assert refused.code is ErrorCode.CRASHES_UPSTREAMS
-        assert LIFE - 5 < refused.retry_after <= LIFE
+        assert BLOCK_DURATION_S - 5 < refused.retry_after <= BLOCK_DURATION_S
 
-    with_store(play)
+    run_with_store(scenario)
 
 
-def test_what_the_store_has_lost_is_written_again():
+def test_blocks_missing_in_the_store_are_written_again():
     """Guards against a store that comes back from an older copy."""
 
-    def play(store):
+    def scenario(store):
         entry = Entry(store)
-        entry.read()
+        entry.load_listing()
         entry.block()
-        entry.calls.sync()
+        entry.blocked.sync()
         (obj,) = store.list_all(Kind.BLOCKED).unwrap().items
         assert isinstance(store.delete(obj), Success)
-        entry.read()
+        entry.load_listing()
         assert entry.guard.refusal(BAD) is not None
-        entry.calls.sync()
-        assert stored(store) == [BAD]
+        entry.blocked.sync()
+        assert stored_names(store) == [BAD]
 
-    with_store(play)
+    run_with_store(scenario)
 
 
-def test_entries_write_one_after_the_other():
+def test_entries_of_lower_rank_delay_their_writes():
     """Guards against a write of each entry at the same moment."""
 
-    def play(store):
-        third = Entry(store, place=2)
-        third.read()
+    def scenario(store):
+        third = Entry(store, rank=2)
+        third.load_listing()
         third.block()
-        third.calls.sync()
-        assert stored(store) == []
+        third.blocked.sync()
+        assert stored_names(store) == []
         third.now += 2 * WRITE_STAGGER_S + 0.01
-        third.calls.sync()
-        assert stored(store) == [BAD]
+        third.blocked.sync()
+        assert stored_names(store) == [BAD]
 
-    with_store(play)
+    run_with_store(scenario)
 
 
-def test_what_is_over_is_removed():
-    def play(store):
+def test_expired_and_invalid_blocks_are_removed():
+    def scenario(store):
         store.create(Kind.BLOCKED, "old", {UNTIL_KEY: time.time() - 1})
         store.create(Kind.BLOCKED, "broken", {})
         entry = Entry(store)
-        entry.read()
+        entry.load_listing()
         assert entry.guard.refusal(Fingerprint("old")) is None
-        entry.calls.sync()
-        assert stored(store) == []
+        entry.blocked.sync()
+        assert stored_names(store) == []
 
-    with_store(play)
+    run_with_store(scenario)
--- a/tests/test_broadcast.py
+++ b/tests/test_broadcast.py
@@ -11,8 +11,8 @@
 from persimmonhitch.ids import Account, Incarnation, Vm, Zone
 from persimmonhitch.wire.codec import decode
 
-TICK = 0.05
-NEWS_EVERY = 0.2
+TICK_S = 0.05
+UPDATE_INTERVAL_S = 0.2
 COOP = Account("coop")
 
 
@@ -21,142 +21,144 @@
     """One entry: its broadcast, and what it has heard of each other one."""
 
     member: Member
-    cast: Broadcast | None = None
-    heard: dict = field(default_factory=dict)
-    doubled: int = 0
+    broadcast: Broadcast | None = None
+    received: dict = field(default_factory=dict)
+    duplicates: int = 0
     sent: int = 0
-    told_at: float = -1.0
+    published_at: float = -1.0
     count: int = 0
 
 
 class Fleet:
     """Entries that share a clock; messages take one tick."""
 
-    def __init__(self, zones, each):
+    def __init__(self, zones, per_zone):
         self.now = 0.0
-        self.down, self.cuts = set(), set()
+        self.stopped, self.cut_links = set(), set()
         self.nodes = {}
         for zone in range(zones):
-            for number in range(each):
+            for number in range(per_zone):
                 vm = Vm(f"z{zone}-e{number}")
                 self.nodes[vm] = Node(Member(vm, Zone(f"z{zone}"), 1.0))
         for vm in self.nodes:
             self.start(vm, "1")
         self.frames = []
 
-    def start(self, vm, life):
+    def start(self, vm, run):
         node = self.nodes[vm]
         overlay = Overlay(node.member)
         overlay.update([n.member for n in self.nodes.values() if n is not node])
-        node.heard, node.count, node.told_at = {}, 0, -1.0
-        node.cast = Broadcast(
-            Incarnation(f"{vm}.{life}"),
+        node.received, node.count, node.published_at = {}, 0, -1.0
+        node.broadcast = Broadcast(
+            Incarnation(f"{vm}.{run}"),
             overlay,
             lambda to, frame: self._send(vm, to, frame),
             lambda: self.now,
         )
-        node.cast.on(EntryUpdate, lambda *heard: self._hear(node, *heard))
+        node.broadcast.on(EntryUpdate, lambda *received: self._receive(node, *received))
 
     def _send(self, vm, to, frame):
         self.nodes[vm].sent += 1
         self.frames.append((vm, to, frame))
         return True
 
-    def _hear(self, node, origin, msg, as_of):
+    def _receive(self, node, origin, msg, as_of):
         value = msg.usage[COOP]
-        node.doubled += value == node.heard.get(origin, (None,))[0]
-        node.heard[origin] = value, as_of
+        node.duplicates += value == node.received.get(origin, (None,))[0]
+        node.received[origin] = value, as_of
 
     def run(self, seconds):
         end = self.now + seconds
         while self.now < end:
-            self.now += TICK
+            self.now += TICK_S
             frames, self.frames = self.frames, []
             for vm, to, frame in frames:
-                cut = self.down & {vm, to} or frozenset((vm, to)) in self.cuts
+                cut = self.stopped & {vm, to} or frozenset((vm, to)) in self.cut_links
                 if not cut and to in self.nodes:
                     result = decode(frame)
                     assert isinstance(result, Success)
-                    self.nodes[to].cast.receive(vm, result.unwrap())
+                    self.nodes[to].broadcast.receive(vm, result.unwrap())
             for vm, node in self.nodes.items():
-                if vm not in self.down:
+                if vm not in self.stopped:
                     self._tick(node)
 
     def _tick(self, node):
-        if self.now - node.told_at >= NEWS_EVERY:
-            node.told_at = self.now
+        if self.now - node.published_at >= UPDATE_INTERVAL_S:
+            node.published_at = self.now
             node.count += 1
-            node.cast.publish(EntryUpdate({COOP: float(node.count)}, {}, ()))
-        node.cast.flush()
+            node.broadcast.publish(EntryUpdate({COOP: float(node.count)}, {}, ()))
+        node.broadcast.flush()
 
-    def latest(self, among=None):
+    def max_age(self, among=None):
         """Return the age of the oldest news that any entry has of another."""
-        names = set(among or self.nodes) - self.down
+        names = set(among or self.nodes) - self.stopped
         return max(
-            self.now - self.nodes[a].heard.get(b, (0, -99.0))[1]
+            self.now - self.nodes[a].received.get(b, (0, -99.0))[1]
             for a in names
             for b in names
             if a != b
         )
 
     def roots(self):
-        return [vm for vm, n in self.nodes.items() if n.cast.routes.parent is None]
+        return [vm for vm, n in self.nodes.items() if n.broadcast.routes.parent is None]
 
 
-LATE = 0.6
+MAX_AGE_S = 0.6
 """Seconds of the period, of three hops with a flush each, and of the ticks between."""
 
 
-@pytest.mark.parametrize(("zones", "each"), [(4, 1), (4, 6), (6, 11), (1, 30)])
-def test_all_hear_all_within_a_fraction_of_a_second(zones, each):
-    fleet = Fleet(zones, each)
+@pytest.mark.parametrize(("zones", "per_zone"), [(4, 1), (4, 6), (6, 11), (1, 30)])
+def test_updates_reach_all_entries_within_a_bounded_time(zones, per_zone):
+    fleet = Fleet(zones, per_zone)
     fleet.run(3.0)
-    assert fleet.latest() <= LATE
-    assert not any(node.doubled for node in fleet.nodes.values())
+    assert fleet.max_age() <= MAX_AGE_S
+    assert not any(node.duplicates for node in fleet.nodes.values())
 
 
-def test_what_an_entry_sends_does_not_grow_with_the_fleet():
+def test_messages_per_entry_do_not_grow_with_the_fleet():
     """Told by each to each, news of 68 entries took more than a small VM has."""
     sent = []
-    for each in (4, 24):
-        fleet = Fleet(4, each)
+    for per_zone in (4, 24):
+        fleet = Fleet(4, per_zone)
         fleet.run(5.0)
-        leaf = [n for n in fleet.nodes.values() if n.cast.routes.parent is not None]
+        leaf = [
+            n for n in fleet.nodes.values() if n.broadcast.routes.parent is not None
+        ]
         sent.append(max(n.sent for n in leaf))
     assert sent[1] <= sent[0] * 1.1
 
 
-def test_the_others_hear_each_other_soon_after_a_parent_has_died():
+def test_updates_recover_after_a_parent_dies():
     """Guards against a zone whose accounts and engines nobody knows of."""
     fleet = Fleet(3, 5)
     fleet.run(3.0)
-    fleet.down.add(fleet.roots()[0])
+    fleet.stopped.add(fleet.roots()[0])
     fleet.run(1.4)
-    assert fleet.latest() <= LATE
+    assert fleet.max_age() <= MAX_AGE_S
 
 
-def test_a_parent_that_returns_hears_all_and_is_heard():
+def test_a_resumed_parent_sends_and_receives_updates():
     """A frozen parent thaws and takes itself for the parent of a zone that left it."""
     fleet = Fleet(3, 5)
     fleet.run(3.0)
     frozen = fleet.roots()[0]
-    fleet.down.add(frozen)
+    fleet.stopped.add(frozen)
     fleet.run(3.0)
-    fleet.down.clear()
+    fleet.stopped.clear()
     fleet.run(2.5)
-    assert fleet.latest() <= LATE
+    assert fleet.max_age() <= MAX_AGE_S
     assert len(fleet.roots()) == 3
 
 
-def test_a_cut_between_two_parents_keeps_no_news_back():
+def test_updates_bypass_a_cut_link_between_parents():
     fleet = Fleet(2, 4)
     fleet.run(3.0)
-    fleet.cuts.add(frozenset(fleet.roots()))
+    fleet.cut_links.add(frozenset(fleet.roots()))
     fleet.run(2.5)
-    assert fleet.latest() <= LATE + 0.2
+    assert fleet.max_age() <= MAX_AGE_S + 0.2
 
 
-def test_an_entry_cut_off_from_its_parent_alone_goes_by_another():
+def test_an_entry_without_a_link_to_its_parent_uses_another_path():
     fleet = Fleet(2, 4)
     fleet.run(3.0)
     root = fleet.roots()[0]
@@ -164,23 +166,23 @@
     leaf = next(
         vm for vm, n in fleet.nodes.items() if n.member.zone == zone and vm != root
     )
-    fleet.cuts.add(frozenset((root, leaf)))
+    fleet.cut_links.add(frozenset((root, leaf)))
     fleet.run(2.5)
-    assert fleet.latest() <= LATE + 0.4
+    assert fleet.max_age() <= MAX_AGE_S + 0.4
 
 
-def test_a_restarted_entry_counts_anew_and_its_old_messages_do_not():
+def test_messages_of_a_previous_process_are_ignored_after_a_restart():
     """Messages of a process that was killed reach others after those of its next."""
     fleet = Fleet(2, 3)
     fleet.run(3.0)
     vm = next(vm for vm in fleet.nodes if vm not in fleet.roots())
-    late = [item for item in fleet.frames if item[0] == vm]
+    delayed = [item for item in fleet.frames if item[0] == vm]
     fleet.start(vm, "2")
     fleet.run(1.0)
-    fleet.frames += late
+    fleet.frames += delayed
     fleet.run(0.3)
-    counts = {n.heard[vm][0] for name, n in fleet.nodes.items() if name != vm}
+    counts = {n.received[vm][0] for name, n in fleet.nodes.items() if name != vm}
     assert max(counts) <= 8
-    assert fleet.latest() <= LATE
+    assert fleet.max_age() <= MAX_AGE_S
     other = next(n for name, n in fleet.nodes.items() if name != vm)
-    assert other.cast.incarnation(vm) == f"{vm}.2"
+    assert other.broadcast.incarnation(vm) == f"{vm}.2"
--- a/tests/test_limit_gateway.py
+++ b/tests/test_limit_gateway.py
@@ -13,61 +13,62 @@
     event,
 )
 
-LIMIT = 2.0
-WINDOW, OVERAGE, SLACK = 4.0, 1.5, 5
+LIMIT_PER_S = 2.0
+WINDOW_S, OVERAGE, SLACK = 4.0, 1.5, 5
 PLAIN = "HTTP/1.1 200 X\r\n{}Content-Length: 4\r\n\r\ndone"
 STREAMED = "HTTP/1.1 200 X\r\n{}Transfer-Encoding: chunked\r\n\r\n"
 
 
-class InNeed(FakeUpstream):
+class LimitedUpstream(FakeUpstream):
     """Names a limit in its answers, and notes when requests come."""
 
-    def __init__(self, name, service=LEDGER, limit=str(LIMIT)):
+    def __init__(self, name, service=LEDGER, limit=str(LIMIT_PER_S)):
         self.limit = limit
-        self.came = []
+        self.received_at = []
         super().__init__(name, self._answer, service)
 
     def _answer(self, req, sock):
-        self.came.append(time.monotonic())
-        named = f"Server-Limit: {self.limit}\r\n" if self.limit is not None else ""
+        self.received_at.append(time.monotonic())
+        header = f"Server-Limit: {self.limit}\r\n" if self.limit is not None else ""
         if "x-persimmonhitch-model" in req.headers:
             sock.sendall(
-                STREAMED.format(SIGNATURE + named).encode() + event(1) + LAST_CHUNK
+                STREAMED.format(SIGNATURE + header).encode() + event(1) + LAST_CHUNK
             )
         else:
-            sock.sendall(PLAIN.format(SIGNATURE + named).encode())
+            sock.sendall(PLAIN.format(SIGNATURE + header).encode())
         return True
 
-    def most(self):
+    def max_in_window(self):
         """Return the most requests within a window."""
         return max(
-            sum(at <= other < at + WINDOW for other in self.came) for at in self.came
+            sum(at <= other < at + WINDOW_S for other in self.received_at)
+            for at in self.received_at
         )
 
 
 @pytest.mark.parametrize(("path", "service"), [("/read/x", LEDGER), ("/chat/x", LLM)])
-def test_an_upstream_in_need_gets_no_more_than_it_takes(path, service):
+def test_a_limited_upstream_receives_no_more_than_its_limit(path, service):
     """Guards against an upstream that is overrun though it says what it takes."""
-    up = InNeed("u1", service)
+    up = LimitedUpstream("u1", service)
     refused = []
     with GatewayServer(up) as served:
         served.call(path)
-        end = time.monotonic() + WINDOW
+        end = time.monotonic() + WINDOW_S
         while time.monotonic() < end:
             reply = served.call(path, X_Persimmonhitch_Request_Deadline="300")
             if reply.status != 200:
                 refused.append(reply)
-    assert up.most() <= LIMIT * WINDOW * OVERAGE + SLACK
-    assert len(up.came) >= LIMIT * WINDOW / 2
+    assert up.max_in_window() <= LIMIT_PER_S * WINDOW_S * OVERAGE + SLACK
+    assert len(up.received_at) >= LIMIT_PER_S * WINDOW_S / 2
     assert {reply.status for reply in refused} == {503}
     assert all(b"not_run" in reply.body for reply in refused)
     assert all(float(reply.headers["retry-after"]) > 0 for reply in refused)
 
 
-def test_what_does_not_fit_goes_to_another_upstream():
+def test_requests_above_the_limit_go_to_another_upstream():
     """Guards against refusals of calls that another upstream can take."""
-    ups = InNeed("u1"), InNeed("u2", limit=None)
+    ups = LimitedUpstream("u1"), LimitedUpstream("u2", limit=None)
     with GatewayServer(*ups) as served:
         statuses = {served.call("/read/x").status for _ in range(60)}
     assert statuses == {200}
-    assert len(ups[0].came) <= LIMIT * WINDOW * OVERAGE + SLACK
+    assert len(ups[0].received_at) <= LIMIT_PER_S * WINDOW_S * OVERAGE + SLACK
--- a/tests/test_poison_fleet.py
+++ b/tests/test_poison_fleet.py
@@ -13,21 +13,21 @@
 from persimmonhitch.verdict import ErrorCode
 
 LLM, ZONE = Service("llm"), Zone("z1")
-STEP = 0.05
-RUN, BEGIN, BACK = 1.5, 0.1, 4.0
+STEP_S = 0.05
+RUN_S, START_S, RESTART_S = 1.5, 0.1, 4.0
 """Seconds that a call runs, waits for its begin, and that an upstream is away."""
-LATE, STORE_LATE = 0.3, 0.8
+UPDATE_DELAY_S, STORE_DELAY_S = 0.3, 0.8
 """Seconds until entries hear each other, and read in the store what was judged."""
-ATTEMPTS = 4
+MAX_TRIES = 4
 """How often a call is sent again: its caller comes back once, and entries repeat it."""
-PATIENCE = 1.0
+MAX_WAIT_S = 1.0
 """Seconds that a call waits at an entry for a place."""
-CONTACT = 3.0
-LATE_SENDS = 3
+CONTACT_S = 3.0
+MAX_LATE_SENDS = 3
 """Sends of a call allowed later than ``CONTACT`` after its third crash."""
-SECONDS, CALM_FROM = 24.0, 16.0
+DURATION_S, CALM_FROM_S = 24.0, 16.0
 """Length of a play, and from when on no upstream is left that crashed."""
-SERVED_PART = 0.95
+MIN_SERVED_FRACTION = 0.95
 """Part of the calls to serve that come by then and early enough to end."""
 UPSTREAMS, SLOTS = 8, 16
 
@@ -37,7 +37,7 @@
     """An upstream; it starts anew under a new name."""
 
     record: UpstreamRecord
-    back_at: float = 0.0
+    available_at: float = 0.0
     running: list = field(default_factory=list)
 
 
@@ -45,12 +45,12 @@
 class Run:
     """One attempt of a call."""
 
-    call: Fingerprint
+    fingerprint: Fingerprint
     vm: Vm
     engine: Engine
     sent_at: float
     poison: bool
-    attempts: int
+    tries: int
 
 
 class Fleet:
@@ -61,18 +61,18 @@
         self.rng = random.Random(seed)
         names = [Vm(f"e{n}") for n in range(entries)]
         self.guards = {vm: self._guard(vm) for vm in names}
-        self.cut_off = {}
-        self.calm_since = dict.fromkeys(self.guards, -CONTACT)
+        self.cut_until = {}
+        self.in_contact_since = dict.fromkeys(self.guards, -CONTACT_S)
         self.engines = [Engine(self._record(n)) for n in range(UPSTREAMS)]
         self.sent = []
         self.crashes = []
-        self.came = []
+        self.arrivals = []
         self.done, self.refused, self.dropped = set(), set(), set()
-        self._on_way = deque()
-        self._stored = deque()
-        self._again = deque()
+        self._in_transit = deque()
+        self._writes = deque()
+        self._retries = deque()
         self._waiting = []
-        self._number = UPSTREAMS
+        self._next_number = UPSTREAMS
 
     def _guard(self, vm):
         return PoisonGuard(vm, lambda: self.now, is_isolated=lambda: self._is_cut(vm))
@@ -87,125 +87,127 @@
     def restart(self, vm):
         """Start an entry anew; it remembers nothing."""
         self.guards[vm] = self._guard(vm)
-        self.calm_since[vm] = self.now
+        self.in_contact_since[vm] = self.now
         for engine in self.engines:
-            self.dropped |= {run.call for run in engine.running if run.vm == vm}
+            self.dropped |= {run.fingerprint for run in engine.running if run.vm == vm}
             engine.running = [run for run in engine.running if run.vm != vm]
 
     def cut(self, vm, seconds):
         """Keep an entry from hearing and telling others; it reaches the store."""
-        self.cut_off[vm] = self.now + seconds
+        self.cut_until[vm] = self.now + seconds
 
     def _is_cut(self, vm):
-        return self.cut_off.get(vm, 0.0) > self.now
+        return self.cut_until.get(vm, 0.0) > self.now
 
-    def _news(self):
+    def _exchange_updates(self):
         for vm, guard in self.guards.items():
-            news = guard.next_update()
-            if news is not None and not self._is_cut(vm):
-                self._on_way.append((self.now, vm, news))
-        while self._on_way and self._on_way[0][0] + LATE <= self.now:
-            at, origin, news = self._on_way.popleft()
+            update = guard.next_update()
+            if update is not None and not self._is_cut(vm):
+                self._in_transit.append((self.now, vm, update))
+        while self._in_transit and self._in_transit[0][0] + UPDATE_DELAY_S <= self.now:
+            at, origin, update = self._in_transit.popleft()
             for vm, guard in self.guards.items():
                 if vm != origin and not self._is_cut(vm):
-                    guard.receive(origin, news, at)
+                    guard.receive(origin, update, at)
 
-    def _store(self):
+    def _sync_store(self):
         for guard in self.guards.values():
-            self._stored.append((self.now, guard.blocked()))
+            self._writes.append((self.now, guard.blocked()))
         due = {}
-        while self._stored and self._stored[0][0] + STORE_LATE <= self.now:
-            due.update(self._stored.popleft()[1])
+        while self._writes and self._writes[0][0] + STORE_DELAY_S <= self.now:
+            due.update(self._writes.popleft()[1])
         for guard in self.guards.values():
             guard.receive_blocked(due)
 
     # -- calls -------------------------------------------------------------------
 
-    def call(self, call, poison=False, attempts=ATTEMPTS):
+    def submit(self, fingerprint, poison=False, tries=MAX_TRIES):
         """Let a call come to an entry at random."""
         vm = self.rng.choice(list(self.guards))
-        self._waiting.append((self.now + PATIENCE, vm, call, poison, attempts))
+        self._waiting.append((self.now + MAX_WAIT_S, vm, fingerprint, poison, tries))
 
-    def _match(self):
+    def _dispatch(self):
         waiting, self._waiting = self._waiting, []
-        for until, vm, call, poison, attempts in waiting:
+        for deadline, vm, fingerprint, poison, tries in waiting:
             guard = self.guards[vm]
-            refused = guard.refusal(call)
-            if refused is not None and refused.code is ErrorCode.CRASHES_UPSTREAMS:
-                self.refused.add(call)
+            refusal = guard.refusal(fingerprint)
+            if refusal is not None and refusal.code is ErrorCode.CRASHES_UPSTREAMS:
+                self.refused.add(fingerprint)
                 continue
-            if refused is not None:
-                if attempts > 1:
-                    self._again.append((self.now + 0.5, call, poison, attempts - 1))
+            if refusal is not None:
+                if tries > 1:
+                    self._retries.append(
+                        (self.now + 0.5, fingerprint, poison, tries - 1)
+                    )
                 continue
-            engine = self._place(guard, call)
+            engine = self._choose_engine(guard, fingerprint)
             if engine is not None:
-                self._send(vm, call, poison, attempts, engine)
-            elif until > self.now:
-                self._waiting.append((until, vm, call, poison, attempts))
-            elif attempts > 1:
-                self._again.append((self.now + 0.5, call, poison, attempts - 1))
+                self._send(vm, fingerprint, poison, tries, engine)
+            elif deadline > self.now:
+                self._waiting.append((deadline, vm, fingerprint, poison, tries))
+            elif tries > 1:
+                self._retries.append((self.now + 0.5, fingerprint, poison, tries - 1))
 
-    def _send(self, vm, call, poison, attempts, engine):
+    def _send(self, vm, fingerprint, poison, tries, engine):
         guard = self.guards[vm]
-        guard.started(call, engine.record.name)
-        engine.running.append(Run(call, vm, engine, self.now, poison, attempts))
+        guard.started(fingerprint, engine.record.name)
+        engine.running.append(Run(fingerprint, vm, engine, self.now, poison, tries))
         if poison:
-            calm = self.now - self.calm_since[vm] >= CONTACT
-            self.sent.append((self.now, call, calm))
+            in_contact = self.now - self.in_contact_since[vm] >= CONTACT_S
+            self.sent.append((self.now, fingerprint, in_contact))
 
-    def _place(self, guard, call):
-        lanes = [
+    def _choose_engine(self, guard, fingerprint):
+        views = [
             UpstreamView(
                 e.record.name, ZONE, SLOTS, 0, len(e.running), 0, 0, True, True
             )
             for e in self.engines
-            if e.back_at <= self.now and len(e.running) < SLOTS
+            if e.available_at <= self.now and len(e.running) < SLOTS
         ]
         guard.exclude_upstreams(
-            DispatchRequest(LLM, None, None, 1, 1, 1, 0, 0, 0, 0, call), lanes
+            DispatchRequest(LLM, None, None, 1, 1, 1, 0, 0, 0, 0, fingerprint), views
         )
-        able = [lane for lane in lanes if lane.traffic_share > 0]
-        if not able:
+        available = [view for view in views if view.traffic_share > 0]
+        if not available:
             return None
-        least = min(able, key=lambda lane: (lane.running, self.rng.random()))
-        return next(e for e in self.engines if e.record.name == least.upstream)
+        choice = min(available, key=lambda view: (view.running, self.rng.random()))
+        return next(e for e in self.engines if e.record.name == choice.upstream)
 
-    def _work(self):
+    def _run_engines(self):
         for engine in self.engines:
-            guilty = [r for r in engine.running if r.poison and self._age(r) >= BEGIN]
-            if guilty:
-                self._crash(engine, min(guilty, key=lambda run: run.sent_at))
+            fatal = [r for r in engine.running if r.poison and self._age(r) >= START_S]
+            if fatal:
+                self._crash(engine, min(fatal, key=lambda run: run.sent_at))
                 continue
-            for run in [r for r in engine.running if self._age(r) >= RUN]:
+            for run in [r for r in engine.running if self._age(r) >= RUN_S]:
                 engine.running.remove(run)
                 guard = self.guards[run.vm]
                 guard.answered(engine.record, run.sent_at)
-                guard.completed(run.call)
-                guard.ended(run.call, engine.record.name)
-                self.done.add(run.call)
+                guard.completed(run.fingerprint)
+                guard.ended(run.fingerprint, engine.record.name)
+                self.done.add(run.fingerprint)
 
     def _age(self, run):
         return self.now - run.sent_at
 
-    def _crash(self, engine, guilty):
-        self.crashes.append((self.now, guilty.call))
+    def _crash(self, engine, fatal):
+        self.crashes.append((self.now, fatal.fingerprint))
         for run in engine.running:
             guard = self.guards[run.vm]
             guard.connection_lost(
-                run.call, engine.record, BEGIN <= self._age(run) <= 1.0
+                run.fingerprint, engine.record, START_S <= self._age(run) <= 1.0
             )
-            guard.ended(run.call, engine.record.name)
-            if run.attempts > 1:
-                again = (self.now + 0.1, run.call, run.poison, run.attempts - 1)
-                self._again.append(again)
+            guard.ended(run.fingerprint, engine.record.name)
+            if run.tries > 1:
+                retry = (self.now + 0.1, run.fingerprint, run.poison, run.tries - 1)
+                self._retries.append(retry)
         engine.running = []
-        engine.record = self._record(self._number)
-        self._number += 1
-        engine.back_at = self.now + BACK
+        engine.record = self._record(self._next_number)
+        self._next_number += 1
+        engine.available_at = self.now + RESTART_S
 
-    def _checks(self):
-        alive = {e.record.name for e in self.engines if e.back_at <= self.now}
+    def _run_checks(self):
+        alive = {e.record.name for e in self.engines if e.available_at <= self.now}
         for guard in self.guards.values():
             for record in guard.due_checks():
                 if record.name not in alive:
@@ -213,76 +215,78 @@
 
     def step(self):
         """Play one step."""
-        self.now += STEP
-        self._work()
-        self._checks()
-        self._news()
-        self._store()
-        self._match()
-        while self._again and self._again[0][0] <= self.now:
-            _, call, poison, attempts = self._again.popleft()
-            self.call(call, poison, attempts)
+        self.now += STEP_S
+        self._run_engines()
+        self._run_checks()
+        self._exchange_updates()
+        self._sync_store()
+        self._dispatch()
+        while self._retries and self._retries[0][0] <= self.now:
+            _, fingerprint, poison, tries = self._retries.popleft()
+            self.submit(fingerprint, poison, tries)
 
     # -- what came of it ---------------------------------------------------------
 
-    def late_sends(self, call):
+    def late_sends(self, fingerprint):
         """Return the sends of a call that count, and its crashes."""
-        crashes = sorted(at for at, crashed in self.crashes if crashed == call)
+        crashes = sorted(at for at, crashed in self.crashes if crashed == fingerprint)
         if len(crashes) < 3:
             return 0, len(crashes)
         late = [
             at
-            for at, sent, calm in self.sent
-            if sent == call and calm and at > crashes[2] + CONTACT
+            for at, sent, in_contact in self.sent
+            if sent == fingerprint and in_contact and at > crashes[2] + CONTACT_S
         ]
         return len(late), len(crashes)
 
 
-def calm(_fleet):
+def no_fault(_fleet):
     """Let nothing happen."""
 
 
-def restarts(fleet):
+def entry_restarts(fleet):
     """Start entries anew, one each few seconds."""
-    if round(fleet.now / STEP) % round(4.0 / STEP) == 0:
+    if round(fleet.now / STEP_S) % round(4.0 / STEP_S) == 0:
         fleet.restart(fleet.rng.choice(list(fleet.guards)))
 
 
-def cuts(fleet):
+def link_cuts(fleet):
     """Cut a quarter of the entries off from all others for seconds, in turn."""
-    if round(fleet.now / STEP) % round(5.0 / STEP) == 0:
+    if round(fleet.now / STEP_S) % round(5.0 / STEP_S) == 0:
         for vm in fleet.rng.sample(list(fleet.guards), len(fleet.guards) // 4):
             fleet.cut(vm, 5.0)
 
 
-def play(entries, trouble, poison, seed):
+def simulate(entries, fault, poison, seed):
     """Return a fleet after a while with calls that crash upstreams."""
     fleet = Fleet(entries, seed)
-    calls = [Fingerprint(f"poison-{n}") for n in range(poison)]
+    fingerprints = [Fingerprint(f"poison-{n}") for n in range(poison)]
     number = 0
-    while fleet.now < SECONDS:
+    while fleet.now < DURATION_S:
         fleet.step()
-        trouble(fleet)
-        for _ in range(2 if fleet.now < SECONDS - 4.0 else 0):
+        fault(fleet)
+        for _ in range(2 if fleet.now < DURATION_S - 4.0 else 0):
             number += 1
-            fleet.came.append((fleet.now, Fingerprint(f"call-{number}")))
-            fleet.call(fleet.came[-1][1])
-        for call in calls:
-            if fleet.rng.random() < STEP / 0.8:
-                fleet.call(call, poison=True)
-    return fleet, calls
+            fleet.arrivals.append((fleet.now, Fingerprint(f"call-{number}")))
+            fleet.submit(fleet.arrivals[-1][1])
+        for fingerprint in fingerprints:
+            if fleet.rng.random() < STEP_S / 0.8:
+                fleet.submit(fingerprint, poison=True)
+    return fleet, fingerprints
 
 
 @pytest.mark.parametrize("entries", [4, 24, 68])
 @pytest.mark.parametrize("poison", [1, 4])
-@pytest.mark.parametrize("trouble", [calm, restarts, cuts])
-def test_calls_that_crash_upstreams_are_found_and_no_others(entries, poison, trouble):
+@pytest.mark.parametrize("fault", [no_fault, entry_restarts, link_cuts])
+def test_only_requests_that_crash_upstreams_are_blocked(entries, poison, fault):
     """Guards against repeats at entries that saw no crash, and blame for bystanders."""
-    fleet, calls = play(entries, trouble, poison, seed=entries + poison)
-    for call in calls:
-        late, crashes = fleet.late_sends(call)
+    fleet, fingerprints = simulate(entries, fault, poison, seed=entries + poison)
+    for fingerprint in fingerprints:
+        late, crashes = fleet.late_sends(fingerprint)
         assert crashes >= 3
-        assert late <= LATE_SENDS, (call, crashes)
-    assert fleet.refused <= set(calls)
-    late_calls = {call for at, call in fleet.came if at >= CALM_FROM} - fleet.dropped
-    assert len(late_calls & fleet.done) >= SERVED_PART * len(late_calls)
+        assert late <= MAX_LATE_SENDS, (fingerprint, crashes)
+    assert fleet.refused <= set(fingerprints)
+    late_calls = {
+        fingerprint for at, fingerprint in fleet.arrivals if at >= CALM_FROM_S
+    } - fleet.dropped
+    assert len(late_calls & fleet.done) >= MIN_SERVED_FRACTION * len(late_calls)
--- a/tests/test_poison_gateway.py
+++ b/tests/test_poison_gateway.py
@@ -20,27 +20,27 @@
 POISON = b"crash you"
 
 
-class Crashing(FakeUpstream):
+class CrashingUpstream(FakeUpstream):
     """Ends like a process does when it runs ``POISON``; others may run beside it."""
 
-    def __init__(self, name, service, hold=False):
-        self._socks = []
-        self._ended = threading.Event()
-        self._hold = hold
+    def __init__(self, name, service, hang=False):
+        self._sockets = []
+        self._crashed = threading.Event()
+        self._hang = hang
         self.runs = 0
         super().__init__(name, self._answer, service)
 
     def _answer(self, req, sock):
-        self._socks.append(sock)
+        self._sockets.append(sock)
         if req.body == POISON:
             self.runs += 1
             self._crash(sock)
             return False
-        if self._hold:
-            self._ended.wait(5)
+        if self._hang:
+            self._crashed.wait(5)
             return False
-        whole = STREAM_HEAD + event(1) + LAST_CHUNK if self._is_model(req) else answer()
-        sock.sendall(whole)
+        reply = STREAM_HEAD + event(1) + LAST_CHUNK if self._is_model(req) else answer()
+        sock.sendall(reply)
         return True
 
     def _is_model(self, req):
@@ -48,12 +48,12 @@
 
     def _crash(self, _sock):
         self.stop_listening()
-        self._ended.set()
-        for sock in self._socks:
+        self._crashed.set()
+        for sock in self._sockets:
             sock.shutdown(socket.SHUT_RDWR)
 
 
-def crashed(upstreams):
+def crash_count(upstreams):
     return sum(upstream.runs for upstream in upstreams)
 
 
@@ -63,22 +63,22 @@
 )
 def test_a_request_that_crashed_three_upstreams_is_sent_to_no_other(path, service):
     """Guards against repeats, under new ids, that crash one upstream after another."""
-    made = [Crashing(f"u{n}", service) for n in range(6)]
-    with GatewayServer(*made) as served:
+    upstreams = [CrashingUpstream(f"u{n}", service) for n in range(6)]
+    with GatewayServer(*upstreams) as served:
         for n in range(9):
-            last = served.call(path, body=POISON, X_Persimmonhitch_Request_Id=f"p{n}")
-            if last.status == 503:
+            reply = served.call(path, body=POISON, X_Persimmonhitch_Request_Id=f"p{n}")
+            if reply.status == 503:
                 break
-        other = served.call(path, body=b"another", X_Persimmonhitch_Request_Id="good")
-    assert crashed(made) == 3
-    assert last.status == 503
-    assert b"not_run" in last.body
-    assert float(last.headers["retry-after"]) > 0
-    assert (other.status, other.complete) == (200, True)
+        good = served.call(path, body=b"another", X_Persimmonhitch_Request_Id="good")
+    assert crash_count(upstreams) == 3
+    assert reply.status == 503
+    assert b"not_run" in reply.body
+    assert float(reply.headers["retry-after"]) > 0
+    assert (good.status, good.complete) == (200, True)
 
 
 @pytest.mark.parametrize("head", [b"", STREAM_HEAD])
-def test_a_stream_is_accused_whether_its_head_came_or_not(head):
+def test_a_stream_is_a_suspect_with_or_without_a_response_head(head):
     """Guards against blame for what had a head, where the guilty call's was lost."""
     up = FakeUpstream("u1", resets(head), LLM)
     with GatewayServer(up) as served:
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -26,67 +26,67 @@
         self.now = 0.0
         self.guard = PoisonGuard(Vm(vm), lambda: self.now)
 
-    def lose(self, number):
+    def lose_connection(self, number):
         """Lose a call together with the connection to an upstream."""
         self.now += 1.0
         self.guard.started(BAD, record(number).name)
         self.guard.connection_lost(BAD, record(number), True)
         self.guard.ended(BAD, record(number).name)
 
-    def blocks(self):
+    def is_blocked(self):
         self.now += SETTLE_S + 0.01
-        self.told = self.guard.next_update()
+        self.update = self.guard.next_update()
         return self.guard.refusal(BAD) is not None
 
 
 @pytest.mark.parametrize(
-    "others",
+    "records",
     [
         [replace(record(n), born=2) for n in range(BLOCK_CRASHES)],
         [replace(record(n), name=Upstream(f"new{n}")) for n in range(BLOCK_CRASHES)],
     ],
 )
-def test_an_upstream_that_starts_anew_at_once_has_crashed(others):
+def test_a_restarted_upstream_counts_as_crashed(records):
     """Guards against crashes taken for lost answers, as connections go on."""
     entry = Entry()
     for number in range(BLOCK_CRASHES):
-        entry.lose(number)
+        entry.lose_connection(number)
     assert [up.name for up in entry.guard.due_checks()] == ["u0", "u1"]
-    assert not entry.blocks()
-    entry.guard.update_upstreams(others)
-    assert entry.blocks()
+    assert not entry.is_blocked()
+    entry.guard.update_upstreams(records)
+    assert entry.is_blocked()
 
 
 def test_an_upstream_that_answers_later_requests_has_not_crashed():
     """Guards against blame for calls whose answers an upstream loses."""
     entry = Entry()
     for number in range(BLOCK_CRASHES):
-        entry.lose(number)
+        entry.lose_connection(number)
         entry.guard.answered(record(number), entry.now + 0.1)
         entry.guard.unreachable(record(number))
-    assert not entry.blocks()
+    assert not entry.is_blocked()
 
 
-def test_an_entry_takes_what_another_saw():
+def test_evidence_of_several_entries_is_combined():
     """Guards against one entry's part of the evidence being too little."""
     first, second = Entry("e1"), Entry("e2")
     for number, entry in enumerate([first, second, first]):
-        entry.lose(number)
+        entry.lose_connection(number)
         entry.guard.unreachable(record(number))
     first.now = second.now = 5.0
-    assert not first.blocks()
+    assert not first.is_blocked()
     first.guard.receive(Vm("e2"), second.guard.next_update(), 5.0)
-    assert first.blocks()
+    assert first.is_blocked()
     assert second.guard.refusal(BAD) is None
-    second.guard.receive(Vm("e1"), first.told, first.now)
+    second.guard.receive(Vm("e1"), first.update, first.now)
     assert second.guard.refusal(BAD) is not None
 
 
-def test_an_entry_that_starts_blames_nobody_whom_others_have_cleared():
+def test_a_new_entry_blocks_no_request_that_a_peer_has_cleared():
     """Guards against blame by an entry that missed the answers of a call."""
     first, second, new = Entry("e1"), Entry("e2"), Entry("e3")
     for number in range(BLOCK_CRASHES):
-        first.lose(number)
+        first.lose_connection(number)
         first.guard.unreachable(record(number))
     second.now = first.now
     second.guard.receive(Vm("e1"), first.guard.next_update(), first.now)
@@ -95,16 +95,16 @@
     first.now = new.now = second.now + 2.0
     first.guard.receive(Vm("e2"), second.guard.next_update(), second.now)
     new.guard.receive(Vm("e1"), first.guard.next_update(), first.now)
-    assert not new.blocks()
+    assert not new.is_blocked()
 
 
-def test_an_entry_that_starts_waits_for_what_all_others_tell():
+def test_a_new_entry_waits_for_the_reports_of_all_peers():
     """Guards against blame by the first of several entries that tell of old crashes."""
-    told, new = Entry("e1"), Entry("e2")
+    old, new = Entry("e1"), Entry("e2")
     for number in range(BLOCK_CRASHES):
-        told.lose(number)
-        told.guard.unreachable(record(number))
+        old.lose_connection(number)
+        old.guard.unreachable(record(number))
     new.now = 20.0
-    new.guard.receive(Vm("e1"), told.guard.next_update(), 10.0)
+    new.guard.receive(Vm("e1"), old.guard.next_update(), 10.0)
     assert new.guard.refusal(BAD) is None
-    assert new.blocks()
+    assert new.is_blocked()
--- a/tests/test_pooled_rate.py
+++ b/tests/test_pooled_rate.py
@@ -7,78 +7,78 @@
 
 COOP = Account("coop")
 RATE, BURST, COST = 1000.0, 2000.0, Tokens(50)
-STEP = 0.01
+STEP_S = 0.01
 
 
-def entries(count, listed=None):
+def make_quotas(count, listed=None):
     """Return quotas of entries that share a clock and know of each other."""
     clock = [0.0]
     names = [Vm(f"e{n}") for n in range(count)]
     account = AccountSpec(COOP, None, RATE, BURST, Tokens(1))
     cfg = FleetConfig(ConfigVersion(1), accounts={COOP: account})
-    made = {}
+    quotas = {}
     for name in names:
         others = frozenset(listed or names) - {name}
-        made[name] = Quota(lambda others=others: others, lambda: clock[0])
-        made[name].update(cfg)
-    return clock, made
+        quotas[name] = Quota(lambda others=others: others, lambda: clock[0])
+        quotas[name].update(cfg)
+    return clock, quotas
 
 
-def play(clock, made, seconds, asks, heard=lambda _a, _b: True):
+def run(clock, quotas, seconds, attempts, delivers=lambda _a, _b: True):
     """Ask and exchange news for some seconds; return the tokens let in."""
-    let_in, told_at = 0.0, clock[0]
-    for _ in range(int(seconds / STEP)):
-        clock[0] += STEP
-        for name, quota in made.items():
-            for _ in range(asks(name)):
+    admitted, published_at = 0.0, clock[0]
+    for _ in range(int(seconds / STEP_S)):
+        clock[0] += STEP_S
+        for name, quota in quotas.items():
+            for _ in range(attempts(name)):
                 if quota.spend(COOP, COST) is None:
-                    let_in += COST
-        if clock[0] - told_at >= UPDATE_INTERVAL_S:
-            told_at = clock[0]
-            for sender, quota in made.items():
-                for name, other in made.items():
-                    if name != sender and heard(sender, name):
+                    admitted += COST
+        if clock[0] - published_at >= UPDATE_INTERVAL_S:
+            published_at = clock[0]
+            for sender, quota in quotas.items():
+                for name, other in quotas.items():
+                    if name != sender and delivers(sender, name):
                         other.receive(sender, quota.tokens_used())
-    return let_in
+    return admitted
 
 
 def test_a_flood_at_all_entries_gets_the_rate_once():
     """One account sends many times its rate at every entry at the same moment."""
-    clock, made = entries(4)
-    play(clock, made, 1.0, lambda _name: 0)
-    let_in = play(clock, made, 8.0, lambda _name: 2)
-    first_moment = 4 * 2 * COST * UPDATE_INTERVAL_S / STEP
-    assert BURST + 8 * RATE * 0.9 <= let_in <= BURST + 8 * RATE + first_moment
+    clock, quotas = make_quotas(4)
+    run(clock, quotas, 1.0, lambda _name: 0)
+    admitted = run(clock, quotas, 8.0, lambda _name: 2)
+    initial_overshoot = 4 * 2 * COST * UPDATE_INTERVAL_S / STEP_S
+    assert BURST + 8 * RATE * 0.9 <= admitted <= BURST + 8 * RATE + initial_overshoot
 
 
-def test_callers_of_one_entry_alone_get_the_whole_rate():
+def test_callers_of_a_single_entry_get_the_full_rate():
     """All callers of an account come by one entry. A fixed part of the rate for each
     would refuse three of four of them below their rate.
     """
-    clock, made = entries(4)
-    play(clock, made, 1.0, lambda _name: 0)
-    let_in = play(clock, made, 8.0, lambda name: 2 * (name == "e0"))
-    assert let_in >= BURST + 8 * RATE * 0.97
+    clock, quotas = make_quotas(4)
+    run(clock, quotas, 1.0, lambda _name: 0)
+    admitted = run(clock, quotas, 8.0, lambda name: 2 * (name == "e0"))
+    assert admitted >= BURST + 8 * RATE * 0.97
 
 
-def test_halves_that_do_not_hear_each_other_share_the_rate():
+def test_partitioned_halves_share_the_rate():
     """The links between two halves of the entries are cut. With all of the rate at
     either side the account would get it twice for as long as the cut lasts.
     """
-    clock, made = entries(4)
-    play(clock, made, 1.0, lambda _name: 0)
+    clock, quotas = make_quotas(4)
+    run(clock, quotas, 1.0, lambda _name: 0)
     half = {"e0": 0, "e1": 0, "e2": 1, "e3": 1}
 
     def same_half(sender, name):
         return half[sender] == half[name]
 
-    let_in = play(clock, made, 10.0, lambda _name: 2, same_half)
-    silence = PEER_TIMEOUT_S * RATE + BURST
-    first_moment = 4 * 2 * COST * UPDATE_INTERVAL_S / STEP
-    assert let_in <= BURST + 10 * RATE + silence + first_moment
+    admitted = run(clock, quotas, 10.0, lambda _name: 2, same_half)
+    before_timeout = PEER_TIMEOUT_S * RATE + BURST
+    initial_overshoot = 4 * 2 * COST * UPDATE_INTERVAL_S / STEP_S
+    assert admitted <= BURST + 10 * RATE + before_timeout + initial_overshoot
 
 
-def test_a_peer_that_starts_anew_is_not_taken_for_a_refund():
+def test_a_restarted_peer_does_not_count_as_a_refund():
     """A process is killed and counts from zero. Taken as tokens given back, its
     account would get all that it ever spent once more.
     """
@@ -90,7 +90,7 @@
     assert bucket.level == level - 100.0
 
 
-def test_refunds_reach_the_others():
+def test_refunds_reach_peers():
     bucket = PooledBucket(RATE, BURST, 0.0)
     bucket.receive(Vm("e1"), 0.0)
     bucket.receive(Vm("e1"), 500.0)
@@ -98,7 +98,7 @@
     assert bucket.level == BURST - 300.0
 
 
-def test_a_lower_rate_holds_at_once():
+def test_a_lower_rate_applies_at_once():
     bucket = PooledBucket(RATE, BURST, 0.0)
     bucket.resize(10.0, 100.0)
     assert bucket.spend(Tokens(60)) is None
@@ -106,7 +106,7 @@
     assert wait is not None and 1.9 < wait < 2.1
 
 
-def test_a_call_above_the_burst_goes_alone():
+def test_a_request_above_the_burst_needs_a_full_bucket():
     bucket = PooledBucket(RATE, BURST, 0.0)
     assert bucket.spend(Tokens(5000)) is None
     assert bucket.spend(Tokens(1)) is not None
