--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -87,7 +87,7 @@
     _awaited: dict[Vm, float] = field(default_factory=dict)
     """Since when this entry expects messages from others."""
     _senders: dict[RelayDirection, dict[Vm, float]] = field(
-        default_factory=lambda: {way: {} for way in RelayDirection}
+        default_factory=lambda: {direction: {} for direction in RelayDirection}
     )
 
     def update(self, members: Iterable[Member]) -> None:
--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -30,7 +30,7 @@
 only lost an answer and are retried at once."""
 BLOCK_CRASHES: Final = 3
 """Unexplained crashes after which a request is blocked."""
-MAX_TIED: Final = 6
+TIED_LIMIT: Final = 6
 """Crashes after which requests that were lost together each time are all blocked."""
 SETTLE_S: Final = 0.6
 """Seconds after a crash until all entries have reported the requests they lost; before
@@ -177,7 +177,9 @@
         for _, fingerprint, counts in sorted(candidates, key=lambda c: c[:2]):
             if now - counts.latest_at < SETTLE_S:
                 return None
-            if counts.unexplained >= MAX_TIED or not self._is_tied(fingerprint, counts):
+            if counts.unexplained >= TIED_LIMIT or not self._is_tied(
+                fingerprint, counts
+            ):
                 return fingerprint
         return None
 
@@ -189,8 +191,8 @@
             if crash.confirmed and not self._is_explained(crash)
         )
         others = next(tied for tied in suspects if fingerprint in tied) - {fingerprint}
-        table = self._counts()
-        return any(table[other].unexplained >= counts.unexplained for other in others)
+        totals = self._counts()
+        return any(totals[other].unexplained >= counts.unexplained for other in others)
 
     def _newest_first(self) -> list[_Crash]:
         return sorted(self._crashes.values(), key=lambda crash: -crash.at)
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -33,7 +33,7 @@
 """Smallest ratio of the relief of a further copy to the value of evicted copies."""
 MIN_RELIEF_PER_S: Final = 0.016
 """Smallest relief of a further copy per second of its load."""
-MIN_URGENT: Final = 0.25
+URGENT_RELIEF: Final = 0.25
 """Relief from which a load is urgent and may start on any engine: that of the first
 copy of a model with one request per second. Other loads leave two thirds of the engines
 free, since the load of a rare model would otherwise delay that of a busy model that is
@@ -208,17 +208,17 @@
     """Return the load of one model with the largest gain, if any exceeds its cost."""
     best: _Gain | None = None
     relief = state.relief(model)
-    if relief < MIN_URGENT and state.load_count() >= state.max_rare_loads():
+    if relief < URGENT_RELIEF and state.load_count() >= state.max_rare_loads():
         return None
-    delay = _cached_load_delay(state, model)
+    eta = _cached_load_eta(state, model)
     for engine in state.engines:
         if engine.busy_s > 0 or model in engine.models | engine.loading:
             continue
         move = _plan(state, engine, model)
         if move is None or (move.cold and not cold_allowed):
             continue
-        remote = delay == math.inf
-        if move.cold and (delay < move.load_s or (relief < MIN_URGENT and not remote)):
+        remote = eta == math.inf
+        if move.cold and (eta < move.load_s or (relief < URGENT_RELIEF and not remote)):
             # A load from the weight store occupies an engine for several times as long;
             # an engine with cached weights becomes free sooner.
             continue
@@ -233,7 +233,7 @@
     return best
 
 
-def _cached_load_delay(state: _PlacementState, model: Model) -> float:
+def _cached_load_eta(state: _PlacementState, model: Model) -> float:
     """Return the seconds to a copy loaded from cached weights, infinity without any."""
     spec = state.specs[model]
     times = [
@@ -265,7 +265,7 @@
     candidates = requested or [
         model
         for model in specs
-        if not state.copies.get(model) and _cached_load_delay(state, model) == math.inf
+        if not state.copies.get(model) and _cached_load_eta(state, model) == math.inf
     ]
     idle = [e for e in usable if e.busy_s <= 0 and _is_idle(state, e)]
     for model in candidates:
@@ -328,9 +328,9 @@
 
 def _plan(state: _PlacementState, engine: EngineView, model: Model) -> Move | None:
     spec = state.specs[model]
-    occupying = engine.models | engine.loading
+    resident = engine.models | engine.loading
     free = engine.memory_mb - engine.adapters_memory_mb
-    free -= sum(state.specs[m].memory for m in occupying if m in state.specs)
+    free -= sum(state.specs[m].memory for m in resident if m in state.specs)
     evicted: list[Model] = []
     candidates = sorted(
         engine.models - engine.evicting - engine.settling, key=state.copy_value
--- a/tests/test_decide_herd.py
+++ b/tests/test_decide_herd.py
@@ -19,7 +19,7 @@
 PROMPT, REQUEST_RATE, READ_RATE = 2368, 250.0, 25_800.0
 INTERVAL_S = 0.2
 DURATION_S, JOIN_AT_S, WARM_UP_S = 12.0, 6.0, 3.0
-LATENCY_TARGET_S = 0.6
+TARGET_S = 0.6
 
 
 @dataclass
@@ -40,7 +40,7 @@
         self._engines = [Engine(Zone(f"z{n % ZONES}")) for n in range(ENGINES)]
         self._sent = [[deque() for _ in range(ENGINES + 1)] for _ in range(ENTRIES)]
         self._reported = [[0] * (ENGINES + 1) for _ in range(ENTRIES)]
-        self._sums = [0] * (ENGINES + 1)
+        self._totals = [0] * (ENGINES + 1)
         self._in_transit = deque()
         self._update_at = [self._rng.random() * INTERVAL_S for _ in range(ENTRIES)]
 
@@ -58,16 +58,7 @@
     def _dispatch(self, entry, now):
         zone = Zone(f"z{entry % ZONES}")
         request = DispatchRequest(
-            LLM,
-            MODEL,
-            None,
-            PROMPT,
-            0,
-            1,
-            now,
-            now + LATENCY_TARGET_S,
-            now + 5,
-            now + 5,
+            LLM, MODEL, None, PROMPT, 0, 1, now, now + TARGET_S, now + 5, now + 5
         )
         views = [self._view(entry, n, now) for n in range(len(self._engines))]
         choice = choose_upstream(views, request, zone, self._rng.random)
@@ -86,7 +77,7 @@
         return len(sent) * PROMPT
 
     def _view(self, entry, number, now):
-        others = self._sums[number] - self._reported[entry][number]
+        others = self._totals[number] - self._reported[entry][number]
         unread = self._unread(entry, number, now) + others
         zone = self._engines[number].zone
         name = Upstream(str(number))
@@ -104,12 +95,12 @@
         while self._in_transit and self._in_transit[0][0] <= now:
             _, entry, reported = self._in_transit.popleft()
             for number, unread in enumerate(reported):
-                self._sums[number] += unread - self._reported[entry][number]
+                self._totals[number] += unread - self._reported[entry][number]
                 self._reported[entry][number] = unread
 
 
 def _late_share(waits):
-    return sum(wait > LATENCY_TARGET_S for wait in waits) / len(waits)
+    return sum(wait > TARGET_S for wait in waits) / len(waits)
 
 
 @pytest.mark.parametrize("delay_s", [0.1, 0.3])
--- a/tests/test_decide_poison.py
+++ b/tests/test_decide_poison.py
@@ -62,8 +62,8 @@
     history = history_of(*crashes)
     assert history.block_attributed(len(crashes) + AFTER_SETTLE_S) == blocked
     for fingerprint in blocked:
-        left = history.blocked_for(fingerprint, len(crashes) + AFTER_SETTLE_S)
-        assert left == pytest.approx(BLOCK_TTL_S)
+        remaining_s = history.blocked_for(fingerprint, len(crashes) + AFTER_SETTLE_S)
+        assert remaining_s == pytest.approx(BLOCK_TTL_S)
 
 
 def test_no_request_is_blocked_before_all_entries_reported():
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -37,7 +37,7 @@
         return 0.0
 
 
-def names(prefix, count):
+def model_names(prefix, count):
     return [Model(f"{prefix}{n}") for n in range(count)]
 
 
@@ -159,8 +159,8 @@
             if engine.loading != move.model or self.clock.now < engine.ready_at:
                 continue
             models = {m: frozenset() for m in engine.inventory.models}
-            for victim in move.evicted:
-                models.pop(victim, None)
+            for evicted in move.evicted:
+                models.pop(evicted, None)
             models[move.model] = frozenset()
             disk = engine.inventory.on_disk | frozenset(models)
             engine.inventory = replace(engine.inventory, models=models, on_disk=disk)
@@ -170,7 +170,7 @@
 
 def full_fleet(engines, rare):
     """Return a fleet that is full of busy models, beside callers of rare ones."""
-    busy = names("busy", engines)
+    busy = model_names("busy", engines)
     resident = {n: (busy[n], busy[(n + 1) % engines]) for n in range(engines)}
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy] + rare
     return Fleet(engines, callers, resident, busy + [caller.model for caller in rare])
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize("engines", [6, 24])
 def test_loads_of_rare_models_run_in_parallel(engines):
     """Guards against models never served where more are missing than load in turn."""
-    rare = [Caller(model, 2400.0, 2.0) for model in names("rare", engines // 2)]
+    rare = [Caller(model, 2400.0, 2.0) for model in model_names("rare", engines // 2)]
     fleet = full_fleet(engines, rare)
     assert {caller.model for caller in rare} <= fleet.run(34.0)
 
@@ -196,8 +196,8 @@
 
 def test_idle_engines_load_requested_models_first():
     """Guards against idle engines that load unasked models beside refused callers."""
-    unused, busy = names("unasked", 4), names("busy", 3)
-    rare = [Caller(model, 2400.0, 2.0) for model in names("rare", 3)]
+    unused, busy = model_names("unasked", 4), model_names("busy", 3)
+    rare = [Caller(model, 2400.0, 2.0) for model in model_names("rare", 3)]
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy] + rare
     resident = {n: (busy[n], busy[(n + 1) % 3]) for n in range(3)}
     fleet = Fleet(
@@ -210,7 +210,7 @@
 
 def test_models_of_a_draining_engine_are_loaded_elsewhere():
     """Guards against models that count as held by an engine that gets no more calls."""
-    busy = names("busy", 2)
+    busy = model_names("busy", 2)
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy]
     fleet = Fleet(2, callers, {0: (busy[0],), 1: (busy[1],)}, busy)
     fleet.drain(Upstream("e0"))
