--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -72,7 +72,7 @@
         self._dispatcher = dispatcher
         self._sent_at = sent_at
         self._unread = unread
-        self._prompt_read = False
+        self._prefill_done = False
         self._released = False
 
     def record_activity(self) -> None:
@@ -81,8 +81,8 @@
 
     def record_first_token(self) -> None:
         """Record that the upstream has processed the prompt."""
-        if not self._prompt_read:
-            self._prompt_read = True
+        if not self._prefill_done:
+            self._prefill_done = True
             self._dispatcher.record_first_token(
                 self.record, self.request, self._sent_at, self._unread
             )
@@ -91,7 +91,7 @@
         """Release the slot."""
         if not self._released:
             self._released = True
-            self._dispatcher.release(self.record, self.request, self._prompt_read)
+            self._dispatcher.release(self.record, self.request, self._prefill_done)
 
 
 class Dispatcher:
@@ -194,11 +194,11 @@
             )
 
     def release(
-        self, record: UpstreamRecord, request: DispatchRequest, prompt_read: bool
+        self, record: UpstreamRecord, request: DispatchRequest, prefill_done: bool
     ) -> None:
         """Count the end of an attempt and assign the free slot to a waiting request."""
         with self._lock:
-            self._table.record_finish(record.name, request, prompt_read)
+            self._table.record_finish(record.name, request, prefill_done)
             self._poison.ended(request.fingerprint, record.name)
             self._match_waiters(record)
 
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -199,10 +199,10 @@
         return median(rates) if rates else DEFAULT_READ_RATE
 
     def record_finish(
-        self, upstream: Upstream, request: DispatchRequest, prompt_read: bool
+        self, upstream: Upstream, request: DispatchRequest, prefill_done: bool
     ) -> None:
         """Count the end of a request at an upstream."""
-        self._own_work[upstream].finish(request, prompt_read)
+        self._own_work[upstream].finish(request, prefill_done)
 
     def unread_tokens(self, upstream: Upstream) -> int:
         """Return the prompt tokens pending at an upstream, sent by all entries."""
@@ -216,7 +216,7 @@
     ) -> list[UpstreamView]:
         """Return views of the upstreams that a request may be sent to."""
         spec = self._cfg.services.get(request.service) if self._cfg else None
-        kv_tokens = spec.engine.kv_tokens if spec and spec.engine else 0
+        kv_capacity = spec.engine.kv_tokens if spec and spec.engine else 0
         now = self._clock()
         states = self._by_service[request.service]
         shares = traffic_shares([state.health for state in states], now)
@@ -226,7 +226,7 @@
             if request.model is None or state.has(request.model, None, now)
         }
         views = [
-            self._view(state, request, kv_tokens, share, now)
+            self._view(state, request, kv_capacity, share, now)
             for state, share in zip(states, shares, strict=True)
             if state.record.name not in excluded
         ]
@@ -251,7 +251,7 @@
         self,
         state: UpstreamState,
         request: DispatchRequest,
-        kv_tokens: int,
+        kv_capacity: int,
         share: float,
         now: float,
     ) -> UpstreamView:
@@ -266,7 +266,7 @@
             upstream=name,
             zone=state.record.zone,
             slots=state.record.slots,
-            kv_capacity=kv_tokens,
+            kv_capacity=kv_capacity,
             running=own.requests + peers.requests,
             kv_tokens=own.tokens + peers.tokens,
             unread=own.prefill_tokens + peers.prefill_tokens,
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -205,13 +205,13 @@
 
 def no_limits():
     """Return limits of an entry whose upstreams state none."""
-    return UpstreamLimits(lambda _ask: None, lambda: 1)
+    return UpstreamLimits(lambda _msg: None, lambda: 1)
 
 
 def sole_entry_limits():
     """Return limits of an entry that grants its own limit requests."""
     limits = UpstreamLimits(
-        lambda ask: limits.receive_grant(limits.grant(Vm("e1"), ask)), lambda: 1
+        lambda msg: limits.receive_grant(limits.grant(Vm("e1"), msg)), lambda: 1
     )
     return limits
 
@@ -240,7 +240,7 @@
         self.checks = CrashChecks(self.poison, conns)
         self.checks.start()
         self.dispatcher = Dispatcher(
-            Zone("z1"), lambda _want: None, self.poison, self.limits
+            Zone("z1"), lambda _msg: None, self.poison, self.limits
         )
         self.dispatcher.configure(cfg)
         self.dispatcher.update([upstream.record for upstream in upstreams])
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -43,7 +43,7 @@
 
 
 def make_dispatcher(*records):
-    dispatcher = Dispatcher(Z1, lambda _want: None, PoisonGuard(Vm("e1")), no_limits())
+    dispatcher = Dispatcher(Z1, lambda _msg: None, PoisonGuard(Vm("e1")), no_limits())
     dispatcher.update(list(records))
     return dispatcher
 
