--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -106,7 +106,7 @@
         self._full_update_at = -math.inf
         self._expired_at = -math.inf
 
-    # -- requests ----------------------------------------------------------------
+    # -- requests ------------------------------------------------------------------
 
     def refusal(self, fingerprint: Fingerprint) -> Failure | None:
         """Return the refusal of a blocked request, None if it may be sent."""
--- a/tests/test_blocked_calls.py
+++ b/tests/test_blocked_calls.py
@@ -1,4 +1,4 @@
-"""Blocked calls in the store."""
+"""Blocked requests in the store."""
 
 import time
 
@@ -24,7 +24,7 @@
 
 
 class Entry:
-    """What an entry has of blocked calls, with a clock that stands."""
+    """Blocked requests of one entry, with a clock that is set by hand."""
 
     def __init__(self, store, rank=0):
         self.now = time.monotonic()
@@ -56,7 +56,7 @@
 
 
 def test_a_new_entry_reads_blocked_requests_from_the_store():
-    """Guards against an entry that sends once more what has crashed upstreams."""
+    """Guards against a new entry that sends a request known to crash upstreams."""
 
     def scenario(store):
         first, second = Entry(store), Entry(store)
@@ -73,7 +73,7 @@
 
 
 def test_blocks_missing_in_the_store_are_written_again():
-    """Guards against a store that comes back from an older copy."""
+    """Guards against lost blocks after the store is restored from an older copy."""
 
     def scenario(store):
         entry = Entry(store)
@@ -91,7 +91,7 @@
 
 
 def test_entries_of_lower_rank_delay_their_writes():
-    """Guards against a write of each entry at the same moment."""
+    """Guards against simultaneous writes of all entries."""
 
     def scenario(store):
         third = Entry(store, rank=2)
--- a/tests/test_broadcast.py
+++ b/tests/test_broadcast.py
@@ -1,4 +1,4 @@
-"""News of each entry reach all others, over a few neighbours of each."""
+"""Updates of each entry reach all others over the overlay."""
 
 from dataclasses import dataclass, field
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Node:
-    """One entry: its broadcast, and what it has heard of each other one."""
+    """One entry: its broadcast and the newest update received from each peer."""
 
     member: Member
     broadcast: Broadcast | None = None
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Entries that share a clock; messages take one tick."""
+    """Entries with a common clock; each message takes one tick."""
 
     def __init__(self, zones, per_zone):
         self.now = 0.0
@@ -90,7 +90,7 @@
         node.broadcast.flush()
 
     def max_age(self, among=None):
-        """Return the age of the oldest news that any entry has of another."""
+        """Return the age of the oldest update that any entry has of a peer."""
         names = set(among or self.nodes) - self.stopped
         return max(
             self.now - self.nodes[a].received.get(b, (0, -99.0))[1]
@@ -104,7 +104,7 @@
 
 
 MAX_AGE_S = 0.6
-"""Seconds of the period, of three hops with a flush each, and of the ticks between."""
+"""Update interval, three hops with a flush interval each, and the ticks between."""
 
 
 @pytest.mark.parametrize(("zones", "per_zone"), [(4, 1), (4, 6), (6, 11), (1, 30)])
@@ -116,7 +116,7 @@
 
 
 def test_messages_per_entry_do_not_grow_with_the_fleet():
-    """Told by each to each, news of 68 entries took more than a small VM has."""
+    """Guards against a full mesh, which at 68 entries needs more than a small VM."""
     sent = []
     for per_zone in (4, 24):
         fleet = Fleet(4, per_zone)
@@ -129,7 +129,7 @@
 
 
 def test_updates_recover_after_a_parent_dies():
-    """Guards against a zone whose accounts and engines nobody knows of."""
+    """Guards against a zone that stops exchanging updates with all others."""
     fleet = Fleet(3, 5)
     fleet.run(3.0)
     fleet.stopped.add(fleet.roots()[0])
@@ -138,7 +138,7 @@
 
 
 def test_a_resumed_parent_sends_and_receives_updates():
-    """A frozen parent thaws and takes itself for the parent of a zone that left it."""
+    """Guards against two parents after one is frozen, replaced, and then resumed."""
     fleet = Fleet(3, 5)
     fleet.run(3.0)
     frozen = fleet.roots()[0]
@@ -172,7 +172,9 @@
 
 
 def test_messages_of_a_previous_process_are_ignored_after_a_restart():
-    """Messages of a process that was killed reach others after those of its next."""
+    """Guards against stale updates: messages of a killed process can arrive after those
+    of its successor.
+    """
     fleet = Fleet(2, 3)
     fleet.run(3.0)
     vm = next(vm for vm in fleet.nodes if vm not in fleet.roots())
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -1,4 +1,4 @@
-"""Many entries, upstreams that take few requests, and news that come late."""
+"""Many entries, an upstream with a request limit, and updates that arrive late."""
 
 import random
 from collections import deque
@@ -14,26 +14,28 @@
 LLM, ZONE = Service("llm"), Zone("z1")
 UP = UpstreamRecord(Upstream("u1"), LLM, "h", 1, ZONE, 64, False, 1, None)
 STEP_S, UPDATE_DELAY_S, RPC_DELAY_S = 0.05, 0.3, 0.1
-"""Seconds of a step, of news to all, and of a message to one entry."""
+"""Seconds of a step, of an update to all entries, and of a message to one entry."""
 CALLS_PER_S = 30
-"""Calls a second, many times what the upstream takes."""
+"""Requests a second, many times the limit of the upstream."""
 SETTLE_S = 0.5
+"""Seconds after its first limited answer from which the sends of an entry count."""
 WINDOW_S, OVERAGE, SLACK = 4.0, 1.5, 5
 DURATION_S = 24.0
 ANSWER_S = 0.1
 QUEUE_TIMEOUT_S = 0.6
-"""Seconds that a call waits at its entry."""
+"""Seconds that a request waits at its entry."""
 GRANT_MARKER = Vm("answered")
+"""Marks a message that carries a grant."""
 
 
 class Fleet:
-    """Entries that want to send more than one upstream takes; seconds are ``now``."""
+    """Entries with more requests than one upstream accepts; ``now`` is in seconds."""
 
     def __init__(self, entries, reported, seed=1):
         self.now = 0.0
         self.rng = random.Random(seed)
         self.reported = reported
-        """What the upstream says it takes at a time, None for nothing."""
+        """Returns the limit that the upstream reports at a time, None for no limit."""
         self.vms = [Vm(f"e{n}") for n in range(entries)]
         self.leader = self.vms[0]
         self.limits = {vm: self._make_limits(vm) for vm in self.vms}
@@ -58,7 +60,7 @@
             self._messages.append((self.now + RPC_DELAY_S, self.leader, vm, msg))
 
     def restart(self, vm):
-        """Start an entry anew."""
+        """Restart an entry without any state."""
         self.limits[vm] = self._make_limits(vm)
         self.excused_at[vm] = self.now
         self.limited_since.pop(vm, None)
@@ -112,7 +114,7 @@
                 self.limited_since.setdefault(vm, self.now)
 
     def step(self):
-        """Play one step."""
+        """Advance the simulation by one step."""
         self.now += STEP_S
         self._answer()
         self._deliver()
@@ -121,26 +123,29 @@
         self._dispatch()
 
     def run(self, seconds, fault):
-        """Play a while."""
+        """Advance the simulation to a time, with faults."""
         while self.now < seconds:
             self.step()
             fault(self)
         return self
 
     def max_in_window(self, counted=True):
-        """Return the most requests in a window, of entries that were told before."""
+        """Return the maximum number of requests within a window.
+
+        If ``counted``, only of entries that knew the limit when they sent.
+        """
         times = [at for at, counts in self.sent if counts or not counted]
         return max(
             (sum(at <= t < at + WINDOW_S for t in times) for at in times), default=0
         )
 
     def rate(self, begin, end):
-        """Return the requests a second within a time."""
+        """Return the requests a second between two times."""
         return sum(begin <= at < end for at, _ in self.sent) / (end - begin)
 
 
 def no_fault(_fleet):
-    """Let nothing happen."""
+    """Cause no fault."""
 
 
 def is_due(fleet, seconds):
@@ -148,13 +153,13 @@
 
 
 def restarts(fleet):
-    """Start entries anew, now and then the one that gives out places."""
+    """Restart random entries, sometimes the leader."""
     if is_due(fleet, 1.5):
         fleet.restart(fleet.rng.choice(fleet.vms))
 
 
 def leader_failures(fleet):
-    """Have the one that gives out places die; another follows seconds later."""
+    """Stop the leader every eight seconds; another is elected four seconds later."""
     if is_due(fleet, 8.0):
         fleet.leader = None
     elif fleet.leader is None and is_due(fleet, 4.0):
@@ -162,7 +167,7 @@
 
 
 def isolations(fleet):
-    """Cut a quarter off from all others, in turn."""
+    """Isolate a random quarter of the entries every four seconds."""
     if is_due(fleet, 4.0):
         count = len(fleet.vms) // 4
         fleet.isolated = set(fleet.rng.sample(fleet.vms, count))
@@ -174,7 +179,7 @@
 @pytest.mark.parametrize("limit", [0.0, 1.0, 2.9, 12.0])
 @pytest.mark.parametrize("fault", [no_fault, restarts, leader_failures, isolations])
 def test_all_entries_together_respect_the_limit_of_an_upstream(entries, limit, fault):
-    """Guards against a limit that each entry keeps by itself."""
+    """Guards against a limit that each entry enforces separately."""
     fleet = Fleet(entries, lambda _now: limit).run(DURATION_S, fault)
     assert fleet.max_in_window() <= limit * WINDOW_S * OVERAGE + SLACK
 
@@ -182,14 +187,14 @@
 @pytest.mark.parametrize("entries", [4, 24, 68])
 @pytest.mark.parametrize("limit", [1.0, 2.9, 12.0])
 def test_a_limited_upstream_is_fully_used(entries, limit):
-    """Guards against calls refused though their upstream has places."""
+    """Guards against requests refused while the upstream has capacity left."""
     fleet = Fleet(entries, lambda _now: limit).run(DURATION_S, no_fault)
     assert fleet.rate(4.0, DURATION_S) >= 0.8 * limit
 
 
 @pytest.mark.parametrize("entries", [4, 24, 68])
 def test_a_changed_limit_takes_effect(entries):
-    """Guards against places that were granted under an older limit."""
+    """Guards against grants that outlive the limit under which they were made."""
     fleet = Fleet(entries, lambda now: 12.0 if now < 10.0 else 1.0)
     fleet.run(DURATION_S, no_fault)
     late = [
@@ -201,7 +206,7 @@
 
 @pytest.mark.parametrize("entries", [4, 24, 68])
 def test_a_lifted_limit_restricts_no_requests(entries):
-    """Guards against callers refused for a need that is over."""
+    """Guards against refusals after the overload has ended."""
     fleet = Fleet(entries, lambda now: 1.0 if now < 10.0 else None)
     fleet.run(DURATION_S, no_fault)
     assert fleet.rate(12.0, DURATION_S) >= 0.9 * CALLS_PER_S
@@ -209,7 +214,7 @@
 
 @pytest.mark.parametrize(("previous", "max_in_window"), [(None, 1.0), (3.0, 3.0)])
 def test_an_unreadable_limit_still_applies(previous, max_in_window):
-    """Guards against an upstream overrun since its words were not understood."""
+    """Guards against an overload of an upstream whose limit can't be parsed."""
     fleet = Fleet(4, lambda now: previous if now < 8.0 and previous else float("nan"))
     fleet.reported = lambda now: previous if previous and now < 8.0 else None
     limits = fleet.limits
--- a/tests/test_limit_gateway.py
+++ b/tests/test_limit_gateway.py
@@ -1,4 +1,4 @@
-"""An upstream in need that names how many requests it takes, through one entry."""
+"""An overloaded upstream that reports a request limit, behind one entry."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 class LimitedUpstream(FakeUpstream):
-    """Names a limit in its answers, and notes when requests come."""
+    """Reports a limit in its answers and records when requests arrive."""
 
     def __init__(self, name, service=LEDGER, limit=str(LIMIT_PER_S)):
         self.limit = limit
@@ -39,7 +39,7 @@
         return True
 
     def max_in_window(self):
-        """Return the most requests within a window."""
+        """Return the maximum number of requests within a window."""
         return max(
             sum(at <= other < at + WINDOW_S for other in self.received_at)
             for at in self.received_at
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize(("path", "service"), [("/read/x", LEDGER), ("/chat/x", LLM)])
 def test_a_limited_upstream_receives_no_more_than_its_limit(path, service):
-    """Guards against an upstream that is overrun though it says what it takes."""
+    """Guards against an upstream that is overloaded although it reports a limit."""
     up = LimitedUpstream("u1", service)
     refused = []
     with GatewayServer(up) as served:
@@ -66,7 +66,7 @@
 
 
 def test_requests_above_the_limit_go_to_another_upstream():
-    """Guards against refusals of calls that another upstream can take."""
+    """Guards against refusals while another upstream has capacity."""
     ups = LimitedUpstream("u1"), LimitedUpstream("u2", limit=None)
     with GatewayServer(*ups) as served:
         statuses = {served.call("/read/x").status for _ in range(60)}
--- a/tests/test_peer_work.py
+++ b/tests/test_peer_work.py
@@ -1,4 +1,4 @@
-"""What peers run at each upstream, as they tell what has changed."""
+"""Work of peers at each upstream, from full and incremental updates."""
 
 import pytest
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("times", [1, 3])
 def test_a_duplicate_update_counts_once(times):
-    """A doubled message would make an engine look full for good."""
+    """Guards against an engine that looks full after a duplicate message."""
     work = PeerWork()
     for _ in range(times):
         work.receive(A, update(work_at(E1, 3), is_full=False), 0.0)
@@ -43,7 +43,7 @@
 
 
 def test_work_absent_from_a_full_update_has_ended():
-    """The change that told of the end was lost with its link."""
+    """Guards against work that never ends because its last delta was lost."""
     work = PeerWork()
     work.receive(A, update(work_at(E1, 3), work_at(E2, 1)), 0.0)
     work.receive(A, update(work_at(E2, 1)), 0.2)
@@ -61,7 +61,7 @@
 
 
 def test_deltas_add_up_to_the_latest_update():
-    """Played into sums, changes and wholes give what the last news say."""
+    """Applying deltas and full updates gives the totals of the latest update."""
     delta, work = UpdateDelta(), PeerWork()
     steps = [
         (work_at(E1, 1, 10), work_at(E2, 2)),
--- a/tests/test_poison_fleet.py
+++ b/tests/test_poison_fleet.py
@@ -1,4 +1,4 @@
-"""Many entries, some calls that crash upstreams, and news that come late."""
+"""Many entries, requests that crash upstreams, and updates that arrive late."""
 
 import random
 from collections import deque
@@ -15,26 +15,27 @@
 LLM, ZONE = Service("llm"), Zone("z1")
 STEP_S = 0.05
 RUN_S, START_S, RESTART_S = 1.5, 0.1, 4.0
-"""Seconds that a call runs, waits for its begin, and that an upstream is away."""
+"""Seconds that a request runs, that it takes to start, and that a restart takes."""
 UPDATE_DELAY_S, STORE_DELAY_S = 0.3, 0.8
-"""Seconds until entries hear each other, and read in the store what was judged."""
+"""Seconds until an update reaches the peers, and a block reaches them by the store."""
 MAX_TRIES = 4
-"""How often a call is sent again: its caller comes back once, and entries repeat it."""
+"""Tries of a request: its caller repeats it once, and entries retry it."""
 MAX_WAIT_S = 1.0
-"""Seconds that a call waits at an entry for a place."""
+"""Seconds that a request waits at an entry for an upstream."""
 CONTACT_S = 3.0
+"""Seconds in contact with its peers from which the sends of an entry count."""
 MAX_LATE_SENDS = 3
-"""Sends of a call allowed later than ``CONTACT`` after its third crash."""
+"""Allowed sends of a request later than ``CONTACT_S`` after its third crash."""
 DURATION_S, CALM_FROM_S = 24.0, 16.0
-"""Length of a play, and from when on no upstream is left that crashed."""
+"""Duration of a run, and the time from which the crashes are over."""
 MIN_SERVED_FRACTION = 0.95
-"""Part of the calls to serve that come by then and early enough to end."""
+"""Fraction of the requests that arrive after that time which must be served."""
 UPSTREAMS, SLOTS = 8, 16
 
 
 @dataclass
 class Engine:
-    """An upstream; it starts anew under a new name."""
+    """An upstream; it restarts under a new name."""
 
     record: UpstreamRecord
     available_at: float = 0.0
@@ -43,7 +44,7 @@
 
 @dataclass(eq=False)
 class Run:
-    """One attempt of a call."""
+    """One attempt of a request, running on an engine."""
 
     fingerprint: Fingerprint
     vm: Vm
@@ -54,7 +55,7 @@
 
 
 class Fleet:
-    """Enattempts that decide by what they have heard; ``now`` is in seconds."""
+    """Entries that share observations with a delay; ``now`` is in seconds."""
 
     def __init__(self, entries, seed):
         self.now = 0.0
@@ -85,7 +86,7 @@
     # -- entries -----------------------------------------------------------------
 
     def restart(self, vm):
-        """Start an entry anew; it remembers nothing."""
+        """Restart an entry without any state."""
         self.guards[vm] = self._guard(vm)
         self.in_contact_since[vm] = self.now
         for engine in self.engines:
@@ -93,7 +94,7 @@
             engine.running = [run for run in engine.running if run.vm != vm]
 
     def cut(self, vm, seconds):
-        """Keep an entry from hearing and telling others; it reaches the store."""
+        """Cut an entry off from its peers, but not from the store."""
         self.cut_until[vm] = self.now + seconds
 
     def _is_cut(self, vm):
@@ -119,10 +120,10 @@
         for guard in self.guards.values():
             guard.receive_blocked(due)
 
-    # -- calls -------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------
 
     def submit(self, fingerprint, poison=False, tries=MAX_TRIES):
-        """Let a call come to an entry at random."""
+        """Send a request to a random entry."""
         vm = self.rng.choice(list(self.guards))
         self._waiting.append((self.now + MAX_WAIT_S, vm, fingerprint, poison, tries))
 
@@ -214,7 +215,7 @@
                     guard.unreachable(record)
 
     def step(self):
-        """Play one step."""
+        """Advance the simulation by one step."""
         self.now += STEP_S
         self._run_engines()
         self._run_checks()
@@ -225,10 +226,13 @@
             _, fingerprint, poison, tries = self._retries.popleft()
             self.submit(fingerprint, poison, tries)
 
-    # -- what came of it ---------------------------------------------------------
+    # -- results -----------------------------------------------------------------
 
     def late_sends(self, fingerprint):
-        """Return the sends of a call that count, and its crashes."""
+        """Return the number of late sends of a request and the number of its crashes.
+
+        Sends of entries that were not in contact with the fleet don't count.
+        """
         crashes = sorted(at for at, crashed in self.crashes if crashed == fingerprint)
         if len(crashes) < 3:
             return 0, len(crashes)
@@ -241,24 +245,24 @@
 
 
 def no_fault(_fleet):
-    """Let nothing happen."""
+    """Cause no fault."""
 
 
 def entry_restarts(fleet):
-    """Start entries anew, one each few seconds."""
+    """Restart a random entry every four seconds."""
     if round(fleet.now / STEP_S) % round(4.0 / STEP_S) == 0:
         fleet.restart(fleet.rng.choice(list(fleet.guards)))
 
 
 def link_cuts(fleet):
-    """Cut a quarter of the entries off from all others for seconds, in turn."""
+    """Cut off a random quarter of the entries every five seconds."""
     if round(fleet.now / STEP_S) % round(5.0 / STEP_S) == 0:
         for vm in fleet.rng.sample(list(fleet.guards), len(fleet.guards) // 4):
             fleet.cut(vm, 5.0)
 
 
 def simulate(entries, fault, poison, seed):
-    """Return a fleet after a while with calls that crash upstreams."""
+    """Run a fleet with requests that crash upstreams; return it with these requests."""
     fleet = Fleet(entries, seed)
     fingerprints = [Fingerprint(f"poison-{n}") for n in range(poison)]
     number = 0
@@ -279,7 +283,9 @@
 @pytest.mark.parametrize("poison", [1, 4])
 @pytest.mark.parametrize("fault", [no_fault, entry_restarts, link_cuts])
 def test_only_requests_that_crash_upstreams_are_blocked(entries, poison, fault):
-    """Guards against repeats at entries that saw no crash, and blame for bystanders."""
+    """Guards against repeats at entries that saw no crash, and against blocks of other
+    requests on the same upstreams.
+    """
     fleet, fingerprints = simulate(entries, fault, poison, seed=entries + poison)
     for fingerprint in fingerprints:
         late, crashes = fleet.late_sends(fingerprint)
--- a/tests/test_poison_gateway.py
+++ b/tests/test_poison_gateway.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams that run them, through one entry."""
+"""Requests that crash their upstreams, sent through one entry."""
 
 import socket
 import threading
@@ -21,7 +21,7 @@
 
 
 class CrashingUpstream(FakeUpstream):
-    """Ends like a process does when it runs ``POISON``; others may run beside it."""
+    """Crashes, with all connections reset, when it runs ``POISON``."""
 
     def __init__(self, name, service, hang=False):
         self._sockets = []
@@ -62,7 +62,7 @@
     [("/read/x", LEDGER), ("/book/x", LEDGER), ("/resume/x", LLM), ("/chat/x", LLM)],
 )
 def test_a_request_that_crashed_three_upstreams_is_sent_to_no_other(path, service):
-    """Guards against repeats, under new ids, that crash one upstream after another."""
+    """Guards against repeats with new request ids that crash ever more upstreams."""
     upstreams = [CrashingUpstream(f"u{n}", service) for n in range(6)]
     with GatewayServer(*upstreams) as served:
         for n in range(9):
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("head", [b"", STREAM_HEAD])
 def test_a_stream_is_a_suspect_with_or_without_a_response_head(head):
-    """Guards against blame for what had a head, where the guilty call's was lost."""
+    """Guards against suspecting only streams whose response head had arrived."""
     up = FakeUpstream("u1", resets(head), LLM)
     with GatewayServer(up) as served:
         served.call("/chat/x")
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -1,4 +1,4 @@
-"""What one entry makes of lost answers."""
+"""Crash attribution at one entry, from lost connections and updates of peers."""
 
 from dataclasses import replace
 
@@ -20,14 +20,14 @@
 
 
 class Entry:
-    """An entry's guard, with a clock that is moved by hand."""
+    """The guard of one entry, with a clock that is set by hand."""
 
     def __init__(self, vm="e1"):
         self.now = 0.0
         self.guard = PoisonGuard(Vm(vm), lambda: self.now)
 
     def lose_connection(self, number):
-        """Lose a call together with the connection to an upstream."""
+        """Lose the connection to an upstream while it runs ``BAD``."""
         self.now += 1.0
         self.guard.started(BAD, record(number).name)
         self.guard.connection_lost(BAD, record(number), True)
@@ -47,7 +47,7 @@
     ],
 )
 def test_a_restarted_upstream_counts_as_crashed(records):
-    """Guards against crashes taken for lost answers, as connections go on."""
+    """Guards against missed crashes where a restart accepts connections at once."""
     entry = Entry()
     for number in range(BLOCK_CRASHES):
         entry.lose_connection(number)
@@ -58,7 +58,7 @@
 
 
 def test_an_upstream_that_answers_later_requests_has_not_crashed():
-    """Guards against blame for calls whose answers an upstream loses."""
+    """Guards against blocking requests whose answers an upstream loses."""
     entry = Entry()
     for number in range(BLOCK_CRASHES):
         entry.lose_connection(number)
@@ -68,7 +68,7 @@
 
 
 def test_evidence_of_several_entries_is_combined():
-    """Guards against one entry's part of the evidence being too little."""
+    """Guards against a missed block when no entry has seen enough crashes itself."""
     first, second = Entry("e1"), Entry("e2")
     for number, entry in enumerate([first, second, first]):
         entry.lose_connection(number)
@@ -83,7 +83,7 @@
 
 
 def test_a_new_entry_blocks_no_request_that_a_peer_has_cleared():
-    """Guards against blame by an entry that missed the answers of a call."""
+    """Guards against a block by an entry that missed the answers of a request."""
     first, second, new = Entry("e1"), Entry("e2"), Entry("e3")
     for number in range(BLOCK_CRASHES):
         first.lose_connection(number)
@@ -99,7 +99,7 @@
 
 
 def test_a_new_entry_waits_for_the_reports_of_all_peers():
-    """Guards against blame by the first of several entries that tell of old crashes."""
+    """Guards against a block on the evidence of only the first peer that reports."""
     old, new = Entry("e1"), Entry("e2")
     for number in range(BLOCK_CRASHES):
         old.lose_connection(number)
--- a/tests/test_pooled_rate.py
+++ b/tests/test_pooled_rate.py
@@ -1,4 +1,4 @@
-"""One bucket an account at every entry, fed by what all of them spend."""
+"""Bucket of an account at every entry, updated with the usage of all entries."""
 
 from persimmonhitch.direct.quota import Quota
 from persimmonhitch.fleet.config import AccountSpec, FleetConfig
@@ -11,7 +11,7 @@
 
 
 def make_quotas(count, listed=None):
-    """Return quotas of entries that share a clock and know of each other."""
+    """Return a clock and the quotas of entries that share it."""
     clock = [0.0]
     names = [Vm(f"e{n}") for n in range(count)]
     account = AccountSpec(COOP, None, RATE, BURST, Tokens(1))
@@ -25,7 +25,7 @@
 
 
 def run(clock, quotas, seconds, attempts, delivers=lambda _a, _b: True):
-    """Ask and exchange news for some seconds; return the tokens let in."""
+    """Spend tokens and exchange updates for a time; return the tokens admitted."""
     admitted, published_at = 0.0, clock[0]
     for _ in range(int(seconds / STEP_S)):
         clock[0] += STEP_S
@@ -43,7 +43,7 @@
 
 
 def test_a_flood_at_all_entries_gets_the_rate_once():
-    """One account sends many times its rate at every entry at the same moment."""
+    """Guards against a rate that is granted once per entry."""
     clock, quotas = make_quotas(4)
     run(clock, quotas, 1.0, lambda _name: 0)
     admitted = run(clock, quotas, 8.0, lambda _name: 2)
@@ -52,8 +52,8 @@
 
 
 def test_callers_of_a_single_entry_get_the_full_rate():
-    """All callers of an account come by one entry. A fixed part of the rate for each
-    would refuse three of four of them below their rate.
+    """Guards against a fixed share of the rate per entry: with all callers at one of
+    four entries, three quarters of the tokens would be refused.
     """
     clock, quotas = make_quotas(4)
     run(clock, quotas, 1.0, lambda _name: 0)
@@ -62,8 +62,8 @@
 
 
 def test_partitioned_halves_share_the_rate():
-    """The links between two halves of the entries are cut. With all of the rate at
-    either side the account would get it twice for as long as the cut lasts.
+    """Guards against a doubled rate while the links between two halves of the entries
+    are cut: neither half may assume the full rate.
     """
     clock, quotas = make_quotas(4)
     run(clock, quotas, 1.0, lambda _name: 0)
@@ -79,8 +79,8 @@
 
 
 def test_a_restarted_peer_does_not_count_as_a_refund():
-    """A process is killed and counts from zero. Taken as tokens given back, its
-    account would get all that it ever spent once more.
+    """Guards against a restart that counts as a refund: the total of the new process
+    begins at zero, and the account would get back all tokens it ever spent there.
     """
     bucket = PooledBucket(RATE, BURST, 0.0)
     bucket.receive(Vm("e1"), 50_000.0)
--- a/tests/test_pooled_rate_late.py
+++ b/tests/test_pooled_rate_late.py
@@ -1,4 +1,4 @@
-"""One account sends many times its rate, and entries learn late what others spend."""
+"""An account far above its rate, with delayed updates of usage between entries."""
 
 import random
 from collections import deque
@@ -15,11 +15,11 @@
 WINDOW_S, OVERAGE, SLACK = 8.0, 0.1, 17_000.0
 STEP_S, UPDATE_INTERVAL_S = 0.01, 0.2
 UPDATE_DELAY_S = 0.3
-"""Seconds that news take to all others, by way of their neighbours."""
+"""Seconds until an update has reached all entries over the overlay."""
 
 
 class Fleet:
-    """Entries whose news reach the others ``LATE`` seconds after they are told."""
+    """Entries whose updates reach the others after ``UPDATE_DELAY_S``."""
 
     def __init__(self, count, isolated=()):
         self.now = 0.0
@@ -40,7 +40,7 @@
         self._published_at = 0.0
 
     def run(self, seconds, demand_per_s, rng):
-        """Let callers ask for ``demand`` tokens a second at entries at random."""
+        """Send requests for ``demand_per_s`` tokens a second to random entries."""
         end = self.now + seconds
         due = 0.0
         while self.now < end:
@@ -65,7 +65,7 @@
                     quota.receive(sender, used, published_at)
 
     def max_in_window(self):
-        """Return the most tokens that were let in within a window."""
+        """Return the maximum number of tokens admitted within a window."""
         best, total, first = 0.0, 0.0, 0
         items = list(self.admitted)
         for at, cost in items:
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("count", [4, 24, 68])
 @pytest.mark.parametrize("factor", [3, 8])
 def test_a_hot_account_keeps_its_rate_over_many_entries(count, factor):
-    """All entries find the last tokens of an account at once, and each spends them."""
+    """Guards against each entry spending the last tokens of an account at once."""
     fleet = Fleet(count)
     rng = random.Random(count)
     fleet.run(6.0, RATE / 2, rng)
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("count", [4, 24, 68])
 def test_an_account_just_below_its_rate_is_rarely_refused(count):
-    """What is held back for others must not refuse callers that have tokens left."""
+    """Guards against a reserve for peers that refuses callers with tokens left."""
     fleet = Fleet(count)
     fleet.run(30.0, RATE * 0.95, random.Random(count))
     served = sum(cost for _, cost in fleet.admitted)
