--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -7,8 +7,8 @@
 
 Entries report to each other which requests were lost with an upstream, whether its
 process has ended, and which requests have completed. A request that completes is
-cleared of earlier crashes. A crash is suspected of the requests that had just begun
-to run or had no answer yet; requests with an answer in progress for a time are
+cleared of earlier crashes. The suspects of a crash are the requests that had just begun
+to run or had no answer yet; requests whose answer was in progress for a time are
 suspected only if no others are left. A crash is explained if a blocked request was
 among its suspects. A request suspected of ``SUSPECT_CRASHES`` runs in isolation and in
 one copy, so that the next crash has one possible cause. After ``BLOCK_CRASHES`` that
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -41,7 +41,7 @@
 ENGINES_PER_RARE_LOAD: Final = 3
 """Engines per concurrent load that is not urgent."""
 DISRUPTION_PER_S: Final = 0.05
-"""Share of the demand for models with adapters that is lost per second of loading: an
+"""Share of the demand for models with adapters that a second of loading disrupts: an
 engine accepts no adapter load while it loads a model."""
 IDLE_COPY_VALUE: Final = 0.004
 """Value of a last copy after its demand has ended, as a share of an engine. It is low,
--- a/tests/test_decide_direct.py
+++ b/tests/test_decide_direct.py
@@ -1,4 +1,4 @@
-"""Decisions of entries that call upstreams directly, each under its load."""
+"""Decisions of entries that call upstreams: dispatch, health, waits and demand."""
 
 from collections import Counter
 
@@ -57,7 +57,7 @@
 
 
 DRAWS, LIKELIEST = 1000, 0.8
-"""Numbers drawn for a choice, and the least part of them that go to the best engine."""
+"""Samples per choice, and the smallest share of them that goes to the best engine."""
 
 
 @pytest.mark.parametrize(
@@ -113,14 +113,14 @@
     (likeliest, count), *_ = choices.most_common()
     assert likeliest.upstream == upstream
     assert count >= DRAWS * LIKELIEST
-    # Only engines that differ in nothing but their wait share the calls.
+    # Requests are shared only among engines that differ in their wait alone.
     chosen = {choice.upstream for choice in choices}
     shared = [v for v in views if v.upstream in chosen]
     assert len({(v.zone == Z1, v.has_adapter) for v in shared}) <= 1
 
 
 def test_oversized_request_goes_to_an_idle_engine():
-    """Alone it fits anywhere; an engine that is too small for it refuses it itself."""
+    """An idle engine that is too small for a request refuses the request itself."""
     assert choose_upstream([view(kv_capacity=500)], request(), Z1).step is Step.SEND
 
 
@@ -135,8 +135,8 @@
 
 
 def test_upstream_with_rare_failures_is_not_ejected():
-    """One answer in ten fails, by chance as at all others: ejecting it would leave the
-    others with more than they can take.
+    """One answer in ten fails at random at every upstream. Ejecting the upstream would
+    overload the others.
     """
     health = UpstreamHealth()
     for n in range(100):
@@ -156,8 +156,8 @@
 
 
 def test_ejected_upstream_returns_with_one_request_at_a_time():
-    """It was down and is back. All entries at once would send it what they have; each
-    sends one call, and more only once that one was answered.
+    """An upstream has recovered, and all entries could send it every request at once.
+    Each sends one request, and more only after that one has an answer.
     """
     health = UpstreamHealth()
     health.unreachable(0.0)
@@ -170,8 +170,8 @@
 
 
 def test_failure_of_all_upstreams_ejects_none():
-    """All engines fail every second request for some seconds. Taken out one after the
-    other, none would be left, and all calls would be refused for longer than the
+    """All engines fail every second request for some seconds. Ejected one after the
+    other, none would be left, and all requests would be refused for longer than the
     failure lasts; callers saw ten seconds of refusals.
     """
     upstreams = [UpstreamHealth() for _ in range(6)]
@@ -213,8 +213,8 @@
     ],
 )
 def test_unresponsive_upstream(running, output_at, idle_at, now, unresponsive):
-    """An engine's VM loses power. No connection is refused, and each call sent there
-    is lost only when its caller gives up, seconds later.
+    """The VM of an engine loses power. No connection is refused, and each request sent
+    there is lost only when its caller gives up, seconds later.
     """
     assert is_unresponsive(running, output_at, idle_at, now) is unresponsive
 
@@ -228,9 +228,9 @@
 
 
 def test_load_wait_ends_before_the_caller_disconnects():
-    """A caller leaves a stream of which nothing has come after two seconds, though its
-    deadline is five. Its model is ready after two and a half: it is to be told so at
-    once, while it can still come back.
+    """A caller disconnects from a stream without events after two seconds, though its
+    deadline is five. Its model is ready after two and a half: the request is refused at
+    once, while the caller can still retry.
     """
     assert load_wait_deadline(request(event_by=2.0)) == pytest.approx(1.6)
 
@@ -242,8 +242,9 @@
 
 
 def test_refusal_names_the_load_time_only_if_known():
-    """Nobody has begun to load a model. Told that it is ready in half a second, callers
-    come back to be refused again, and whoever looks for the cause looks for a load.
+    """No engine has begun to load a model. If the refusal promised it in half a second,
+    callers would retry only to be refused again, and operators would search for a load
+    that does not exist.
     """
     unknown = refusal(Step.LOAD, request())
     known = refusal(Step.LOAD, request(), 2.0)
@@ -256,7 +257,7 @@
 
 
 def test_loads_stay_within_the_weight_store_rate():
-    """All engines are to load at once from the weight store, which then serves each
+    """All engines are to load at once, and the weight store would serve each of them
     several times as slowly.
     """
     limiter = LoadRateLimiter()
--- a/tests/test_decide_herd.py
+++ b/tests/test_decide_herd.py
@@ -1,4 +1,4 @@
-"""Many entries choose engines on news that are late."""
+"""Many entries choose engines by updates that arrive late."""
 
 import random
 from collections import deque
@@ -24,7 +24,7 @@
 
 @dataclass
 class Engine:
-    """Reads one prompt after the other."""
+    """Engine that reads one prompt after the other."""
 
     zone: Zone
     free_at: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class Fleet:
-    """Entries that know their own calls at once and all others' by late news."""
+    """Entries that see their own requests at once and those of others by updates."""
 
     def __init__(self, delay_s, seed):
         self._delay_s = delay_s
@@ -45,7 +45,7 @@
         self._update_at = [self._rng.random() * INTERVAL_S for _ in range(ENTRIES)]
 
     def run(self):
-        """Return the seconds from a call to its first token, for each engine."""
+        """Return the delays from request to first token, for each engine."""
         now = 0.0
         while now < DURATION_S:
             now += self._rng.expovariate(REQUEST_RATE)
@@ -105,8 +105,8 @@
 
 @pytest.mark.parametrize("delay_s", [0.1, 0.3])
 def test_entries_spread_requests_despite_late_updates(delay_s):
-    """All that look at the same news would find the same engine the soonest."""
+    """With the same updates, all entries would find the same engine to be the best."""
     waits = Fleet(delay_s, 1).run()
     assert _late_share([w for engine_waits in waits for w in engine_waits]) <= 0.02
-    # The one that joined empty; taken for the best by all, it gets all of the calls.
+    # The engine that joins idle would be the best for all entries and get all requests.
     assert _late_share(waits[ENGINES]) <= 0.05
--- a/tests/test_decide_missing.py
+++ b/tests/test_decide_missing.py
@@ -1,4 +1,4 @@
-"""Since when models are missing that callers ask for."""
+"""Time for which requested models are missing."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     ],
 )
 def test_model_is_missing_from_first_request_until_resident(updates, missing_for):
-    """Guards against a time missing that starts anew between two calls."""
+    """Guards against a duration that restarts between two requests."""
     missing = MissingModels()
     for now, requested_at, is_resident in updates:
         missing.update({RARE: requested_at}, [RARE] if is_resident else [], now)
--- a/tests/test_decide_overlay.py
+++ b/tests/test_decide_overlay.py
@@ -1,4 +1,4 @@
-"""Whom an entry tells its news."""
+"""Relay tree between entries."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 def test_the_vm_with_most_processor_time_is_the_parent():
-    """A parent on the smallest VM passes everything on late."""
+    """A parent on the smallest VM would relay all updates late."""
     weak, strong = members("a", "b"), members("c", cores=STRONG)
     assert overlay(weak[0], [weak[1], *strong]).routes(0.0).parent == "c"
     assert overlay(strong[0], weak).routes(0.0).parent is None
@@ -57,7 +57,7 @@
     [(None, False), (0.2, False), (UNRESPONSIVE_AFTER_S, True)],
 )
 def test_unresponsive_parent_is_skipped_until_it_sends(received_at, is_parent):
-    """Guards against a zone that hears nothing while its parent is frozen."""
+    """Guards against a zone that receives no updates while its parent is frozen."""
     first, *rest = sorted(members("a", "b", "c"), key=_has_parent)
     node = overlay(rest[1], [first, rest[0]])
     if received_at is not None:
@@ -83,7 +83,7 @@
 
 
 def test_senders_receive_updates_in_return():
-    """Two entries that disagree on who is alive would lose each other's news."""
+    """Otherwise entries that disagree on the tree would lose each other's updates."""
     node = overlay(members("a")[0], members("x", "y", zone=Z2))
     node.record_message(Vm("unlisted"), RelayDirection.UP, 0.0)
     node.record_message(Vm("x"), RelayDirection.BETWEEN_ROOTS, 0.0)
@@ -95,7 +95,7 @@
 
 
 def test_one_entry_of_the_fleet_is_first():
-    """Each zone's parent would watch the store for itself."""
+    """Otherwise the root of each zone would watch the store itself."""
     zones = [members(f"{zone}1", f"{zone}2", zone=Zone(zone)) for zone in "abc"]
     fleet = [member for group in zones for member in group]
     nodes = [overlay(local, [m for m in fleet if m != local]) for local in fleet]
--- a/tests/test_decide_poison.py
+++ b/tests/test_decide_poison.py
@@ -1,4 +1,4 @@
-"""Which calls are to blame for crashes of upstreams."""
+"""Attribution of crashes of upstreams to requests."""
 
 import pytest
 
@@ -40,18 +40,18 @@
     [
         ([{BAD: True}] * 2, []),
         ([{BAD: True}] * 3, [BAD]),
-        # Another was there at two of them.
+        # Another request was lost in two of the crashes.
         ([{BAD: True, GOOD: True}] * 2 + [{BAD: True}], [BAD]),
-        # Both were at all of them: the next crash has to tell.
+        # Both were lost in all crashes: the next crash decides.
         ([{BAD: True, GOOD: True}] * 3, []),
         ([{BAD: True, GOOD: True}] * 3 + [{BAD: True}], [BAD]),
-        # Both are as likely, however often they were there together.
+        # Both are equally likely, however often they were lost together.
         ([{BAD: True, GOOD: True}] * 5, []),
-        # One had answered for a while each time.
+        # The answer of one had been in progress for a time at each crash.
         ([{BAD: True, GOOD: False}] * 3, [BAD]),
-        # All had, or no answer had begun.
+        # The answers of all had been in progress for a time.
         ([{BAD: False}] * 3, [BAD]),
-        # The third crash of one that only ran beside two others in turn.
+        # The third crash of a request that ran beside two others in turn.
         (
             [{BAD: True, GOOD: True}] * 2 + [{BAD: True}, {OTHER: True, GOOD: True}],
             [BAD],
@@ -67,7 +67,7 @@
 
 
 def test_no_request_is_blocked_before_all_entries_reported():
-    """Guards against blame for a call that seems to have been there alone."""
+    """Guards against a block of a request that only appears to be the sole suspect."""
     history = history_of(*[{GOOD: True}] * BLOCK_CRASHES)
     assert history.block_attributed(BLOCK_CRASHES + SETTLE_S / 2) == []
     assert history.awaits_confirmation(GOOD, BLOCK_CRASHES + SETTLE_S / 2)
@@ -78,7 +78,7 @@
 
 
 def test_unconfirmed_crashes_block_nothing():
-    """Guards against blame for a call whose connections were cut."""
+    """Guards against a block of a request whose connections were cut."""
     history = history_of(*[{GOOD: True}] * BLOCK_CRASHES, confirmed=False)
     assert history.block_attributed(BLOCK_CRASHES + AFTER_SETTLE_S) == []
     history.expire(BLOCK_CRASHES + UNCONFIRMED_TTL_S + 0.1)
@@ -86,7 +86,7 @@
 
 
 def test_answer_of_an_upstream_refutes_its_crash():
-    """Guards against blame for calls that lost an answer, told before or later."""
+    """Guards against a block of requests that lost an answer, in any report order."""
     history = history_of(*[{GOOD: True}] * BLOCK_CRASHES)
     assert history.record_alive(instance(1), 1.5)
     history.record_lost(instance(1), {GOOD: True}, 1.0, 1.0)
@@ -97,7 +97,7 @@
 
 
 def test_completed_request_is_cleared_of_earlier_crashes():
-    """Guards against blame that outlives the proof of innocence."""
+    """Guards against suspicion of a request that has completed since."""
     history = history_of(*[{GOOD: True}] * BLOCK_CRASHES)
     assert history.record_completed(GOOD, 2.5)
     history.record_lost(instance(1), {GOOD: True}, 1.0, 1.0)
@@ -106,7 +106,7 @@
 
 
 def test_crash_is_attributed_to_one_request():
-    """Guards against blame for what ran beside a call that is found out later."""
+    """Guards against a block of requests that ran beside a request blocked later."""
     crashes = [{BAD: True, GOOD: True}] * 2 + [{BAD: True}]
     history = history_of(*crashes)
     assert history.block_attributed(3 + AFTER_SETTLE_S) == [BAD]
@@ -116,7 +116,7 @@
 
 
 def test_memory_of_crashes_is_bounded():
-    """Guards against a hostile caller whose calls fill an entry's memory."""
+    """Guards against a hostile caller whose requests fill the memory of an entry."""
     history = CrashHistory()
     fingerprints = []
     for number in range(2 * MAX_CRASHES):
--- a/tests/test_decide_processes.py
+++ b/tests/test_decide_processes.py
@@ -36,7 +36,7 @@
 
 
 REFUSALS = {"OVERLOADED", "RATE_LIMITED"}
-"""Codes that only the decisions and the rate shares give."""
+"""Error codes that only the decide package and the rate shares return."""
 
 
 def syntax_trees():
@@ -60,9 +60,9 @@
 
 
 def test_nothing_else_in_entry_or_sidecar_decides():
-    """Code beside the decisions ranks upstreams, draws lots or refuses for load.
+    """Guards against code outside the decide package that ranks, samples or refuses.
 
-    It would not be played or measured, and callers would get what nobody tested.
+    Simulations do not cover such code, and callers would get untested decisions.
     """
     found = []
     for path, tree in syntax_trees():
@@ -81,10 +81,10 @@
 
 
 def test_copies_keep_their_own_age_over_a_lost_link(engine):
-    """A copy is loaded beside a warm one, and the link to their sidecar breaks.
+    """A sidecar with a warm copy loads a second one, and its link breaks.
 
-    If the whole link counted as new, callers of the warm copy would be sent to
-    busier ones; if none did, all would be sent to a copy with cold caches.
+    If both copies counted as new, callers of the warm copy would be sent to busier
+    upstreams; if neither did, all would be sent to a copy with cold caches.
     """
     conn = engine.conn
     welcome = engine.server._welcome()
@@ -104,10 +104,10 @@
 
 
 def test_burst_after_a_quiet_hour_is_not_refused(engine):
-    """An engine answers one short chat in a while, then a burst comes.
+    """An engine answers one short chat after a long pause, then a burst arrives.
 
-    Where the few tokens it served were taken for its speed, the sidecar predicted
-    waits of an hour and refused bookings that the engine had room for.
+    Where the few tokens served before counted as the engine's speed, the sidecar
+    predicted waits of an hour and refused requests that the engine had room for.
     """
     joined, _ = start(engine, chat(5))
     assert isinstance(joined()[-1], End)
--- a/tests/test_decide_residency.py
+++ b/tests/test_decide_residency.py
@@ -1,4 +1,4 @@
-"""Which models engines hold, each decision under its load."""
+"""Models that engines load and evict, each decision under its load pattern."""
 
 import math
 
@@ -30,7 +30,7 @@
 
 
 READ_RATE = 24_000.0
-"""Tokens a second that an engine reads."""
+"""Tokens per second that an engine reads."""
 
 
 def demand_of(**rates):
@@ -38,8 +38,8 @@
 
 
 def test_missing_model_is_loaded_where_its_weights_are_cached():
-    """Callers ask for a model that nobody holds. From the weight store it takes four
-    times as long, and the engine takes no other order meanwhile.
+    """Callers request a model that is resident nowhere. Its load from the weight store
+    takes four times as long, and the engine accepts no other order meanwhile.
     """
     engines = [engine("e1", "a", "b"), engine("e2", "c", "d", disk=("c", "d", "e"))]
     move = next_move(SPECS, demand_of(a=5000, e=4000, c=0, d=0), engines, True)
@@ -55,8 +55,8 @@
 
 
 def test_loads_of_rare_models_leave_engines_free():
-    """Single calls come for many rare models, and each load keeps an engine for
-    seconds. A busy model that is asked for a moment later has to find an engine free.
+    """Single requests arrive for many rare models, and each load occupies an engine for
+    seconds. A busy model that is requested a moment later must find a free engine.
     """
     engines = [engine(f"e{n}", "a", "b", disk=("a", "b", "c", "d")) for n in range(6)]
     for n in range(2):
@@ -69,9 +69,9 @@
 
 
 def test_overdue_rare_model_is_loaded():
-    """All engines are full of models that are asked for more than they can serve. One
-    that is asked for now and then is worth less than any of them, and all of its
-    callers were refused for three quarters of a minute.
+    """All engines are full of models with more demand than they can serve. A model with
+    rare requests is worth less than any of them, and all of its callers were refused
+    for three quarters of a minute.
     """
     engines = [
         engine("e1", "a", "b", disk=("a", "b", "c")),
@@ -106,7 +106,7 @@
 def test_overdue_loads_scale_with_the_fleet(
     engines, overdue_loads, other_loads, load_overdue, expected
 ):
-    """Guards against one overdue load at a time, and against a fleet full of them."""
+    """Guards against overdue loads one at a time, and on all engines at once."""
     rare = [Model(f"r{n}") for n in range(overdue_loads)]
     specs = {m: ModelSpec(m, 80.0, 8.0, 2.0, 0.6, 0, 0.0) for m in rare}
     loading = [*rare, *[Model("f")] * other_loads]
@@ -128,8 +128,8 @@
 
 
 def test_models_of_equal_demand_do_not_evict_each_other():
-    """Two models are asked for about as much and one place is left: they must not
-    take it from each other without end.
+    """Two models have about the same demand, and one slot is left: they must not evict
+    each other without end.
     """
     engines = [engine("e1", "a", "b", disk=("a", "b", "c"))]
     assert next_move(SPECS, demand_of(a=3000, b=3000, c=3500), engines, True) is None
@@ -143,9 +143,9 @@
 
 
 def test_engine_without_drain_is_preferred():
-    """Two engines could take a model. At one of them the model that would leave runs
-    streams of seconds, and its unload waits for these; the engine takes no other order
-    meanwhile, and callers of the new model are refused for as long.
+    """Two engines could load a model. On one of them the model to evict runs streams of
+    seconds, and its unload waits for them; the engine accepts no other order meanwhile,
+    and callers of the new model are refused for as long.
     """
     running = frozenset({Model("b")})
     disk = ("a", "b", "c")
@@ -191,8 +191,8 @@
 
 
 def test_models_evicted_by_staging_are_restored():
-    """It was put there by whoever knows which models are busy; its first callers would
-    else wait for a load.
+    """An operator who knows which models are busy placed the model there; otherwise its
+    first callers would wait for a load.
     """
     initial = {Upstream("e1"): frozenset({Model("a"), Model("b")})}
     engines = [engine("e1", "a", "d", disk=("a", "b", "d"))]
--- a/tests/test_decide_waiting.py
+++ b/tests/test_decide_waiting.py
@@ -24,8 +24,8 @@
     ],
 )
 def test_wait_for_a_missing_model(loads, missing_s, timeout, retry_after):
-    """The last copy of a model dies. A caller with time for its load waits; one
-    without hears at once when to come back, instead of at its deadline.
+    """The last copy of a model fails. A request with time for a load waits; one without
+    is refused at once with a retry time, instead of at its deadline.
     """
     waits, now = LoadWaitEstimator(INITIAL_LOAD_S), 0.0
     for seconds in loads:
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -1,4 +1,4 @@
-"""Rare models beside busy ones: each is served, however many engines and models."""
+"""Rare models beside busy ones are served with any number of engines and models."""
 
 from dataclasses import dataclass, field, replace
 
@@ -16,17 +16,17 @@
 
 LLM = Service("llm")
 READ_RATE = 24_000.0
-"""Tokens a second that an engine reads."""
+"""Tokens per second that an engine reads."""
 ROUND_INTERVAL_S = 0.1
 COLD_LOAD_S = 8.0
 BUSY_RATE = 24_000.0
-"""Tokens a second that are asked of each busy model: more than the engines can give."""
+"""Tokens per second requested of each busy model: more than the engines can serve."""
 STORE_LOADS_PER_S = 6.5
-"""Loads a second that the weight store gives."""
+"""Loads per second that the weight store serves."""
 
 
 class HeldLease:
-    """A lease that this entry holds."""
+    """Lease that this entry holds."""
 
     predecessor = None
 
@@ -43,23 +43,23 @@
 
 @dataclass
 class Caller:
-    """Calls for a model, ``tokens`` each ``every`` seconds."""
+    """Requests for a model, with ``tokens`` each ``interval_s``."""
 
     model: Model
     tokens: float
     interval_s: float
     requested: float = 0.0
-    """Tokens asked for so far."""
+    """Tokens requested so far."""
 
     def requests_due(self, elapsed):
-        """Ask for what is due after some seconds; return whether that is a call."""
+        """Count the requests due by some time; return whether there is a new one."""
         before = self.requested
         self.requested = (int(elapsed / self.interval_s) + 1) * self.tokens
         return self.requested > before
 
 
 class RecordingLeader(Leader):
-    """Gives its loads to a list instead of sending orders."""
+    """Leader that appends loads to a list instead of sending orders."""
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -74,9 +74,9 @@
 
 @dataclass
 class Fleet:
-    """Engines with room for two models, whose loads take their time by a clock.
+    """Engines with room for two models, whose loads take time by a fake clock.
 
-    ``held`` are the models of each engine by its number.
+    ``resident`` gives the models of each engine by its number.
     """
 
     engines: int
@@ -127,13 +127,13 @@
         )
 
     def drain(self, name):
-        """Have an engine tell that it is leaving."""
+        """Mark an engine as draining."""
         self.leader.update_upstreams(
             [self._record(n, n == name) for n in self.inventories]
         )
 
     def run(self, seconds):
-        """Play some seconds; return the models whose calls found an engine."""
+        """Simulate some seconds; return the models whose requests found an engine."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.sleep(ROUND_INTERVAL_S)
@@ -169,7 +169,7 @@
 
 
 def full_fleet(engines, rare):
-    """Return a fleet that is full of busy models, beside callers of rare ones."""
+    """Return a fleet full of busy models that also has callers of rare models."""
     busy = model_names("busy", engines)
     resident = {n: (busy[n], busy[(n + 1) % engines]) for n in range(engines)}
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy] + rare
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("engines", [6, 24])
 def test_loads_of_rare_models_run_in_parallel(engines):
-    """Guards against models never served where more are missing than load in turn."""
+    """Guards against models never served where many are missing at once."""
     rare = [Caller(model, 2400.0, 2.0) for model in model_names("rare", engines // 2)]
     fleet = full_fleet(engines, rare)
     assert {caller.model for caller in rare} <= fleet.run(34.0)
@@ -188,14 +188,14 @@
     ("tokens", "interval_s"), [(2400.0, 5.5), (600.0, 4.0), (200.0, 3.0)]
 )
 def test_missing_model_stays_missing_between_two_requests(tokens, interval_s):
-    """Guards against models never served whose few calls hardly show in averages."""
+    """Guards against models never served whose few requests hardly show in averages."""
     rare = Caller(Model("rare"), tokens, interval_s)
     fleet = full_fleet(6, [rare])
     assert rare.model in fleet.run(34.0)
 
 
 def test_idle_engines_load_requested_models_first():
-    """Guards against idle engines that load unasked models beside refused callers."""
+    """Guards against idle engines that load other models while callers are refused."""
     unused, busy = model_names("unasked", 4), model_names("busy", 3)
     rare = [Caller(model, 2400.0, 2.0) for model in model_names("rare", 3)]
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy] + rare
@@ -209,7 +209,7 @@
 
 
 def test_models_of_a_draining_engine_are_loaded_elsewhere():
-    """Guards against models that count as held by an engine that gets no more calls."""
+    """Guards against models that count as resident on an engine that is draining."""
     busy = model_names("busy", 2)
     callers = [Caller(model, BUSY_RATE / 10, 0.1) for model in busy]
     fleet = Fleet(2, callers, {0: (busy[0],), 1: (busy[1],)}, busy)
