--- a/src/persimmonhitch/direct/broadcast.py
+++ b/src/persimmonhitch/direct/broadcast.py
@@ -29,9 +29,9 @@
 @dataclass(frozen=True)
 class _Queued:
     item: BroadcastItem
-    source: Vm | None
+    sender: Vm | None
     """The neighbour that sent the item; None for a message of this entry."""
-    from_across: bool
+    from_root: bool
     queued_at: float
 
 
@@ -111,8 +111,8 @@
         with self._lock:
             self._overlay.record_message(vm, batch.direction, now)
             new_items = [item for item in batch.items if self._record_if_new(item)]
-            across = batch.direction is RelayDirection.BETWEEN_ROOTS
-            self._queue += [_Queued(item, vm, across, now) for item in new_items]
+            from_root = batch.direction is RelayDirection.BETWEEN_ROOTS
+            self._queue += [_Queued(item, vm, from_root, now) for item in new_items]
         if new_items:
             self._observe_age(max(item.age_ms for item in new_items) / 1000)
         for item in new_items:
@@ -174,8 +174,8 @@
         self, routes: Routes, queue: list[_Queued], now: float, heartbeat: bool
     ) -> None:
         parent = routes.parent
-        for_parent = [q for q in queue if q.source != parent]
-        for_across = [q for q in queue if not q.from_across]
+        for_parent = [q for q in queue if q.sender != parent]
+        for_roots = [q for q in queue if not q.from_root]
         groups = (
             (
                 RelayDirection.UP,
@@ -183,7 +183,7 @@
                 for_parent,
             ),
             (RelayDirection.DOWN, routes.children, queue),
-            (RelayDirection.BETWEEN_ROOTS, routes.roots, for_across),
+            (RelayDirection.BETWEEN_ROOTS, routes.roots, for_roots),
         )
         for direction, targets, selected in groups:
             if targets and (selected or heartbeat):
--- a/src/persimmonhitch/direct/local_work.py
+++ b/src/persimmonhitch/direct/local_work.py
@@ -12,7 +12,7 @@
     """Running requests of this entry at one upstream, in numbers."""
 
     requests: int = 0
-    tokens: int = 0
+    kv_tokens: int = 0
     prefill_tokens: int = 0
     """Prompt tokens of requests that have not returned their first token yet."""
     model_counts: dict[tuple[Model, Adapter | None], int] = field(default_factory=dict)
@@ -25,7 +25,7 @@
         if not self.requests:
             self.busy_since = now
         self.requests += 1
-        self.tokens += request.kv_tokens
+        self.kv_tokens += request.kv_tokens
         self.prefill_tokens += request.prompt_tokens
         if request.model is not None:
             key = (request.model, request.adapter)
@@ -34,7 +34,7 @@
     def finish(self, request: DispatchRequest, prefill_done: bool) -> None:
         """Remove a request that has ended."""
         self.requests -= 1
-        self.tokens -= request.kv_tokens
+        self.kv_tokens -= request.kv_tokens
         if not prefill_done:
             self.prefill_tokens -= request.prompt_tokens
         if request.model is not None:
@@ -47,4 +47,4 @@
         """Return the work as it is sent to peers."""
         uses = tuple(ModelUse(model, adapter) for model, adapter in self.model_counts)
         prefill = max(0, self.prefill_tokens)
-        return UpstreamWork(upstream, self.requests, self.tokens, prefill, uses)
+        return UpstreamWork(upstream, self.requests, self.kv_tokens, prefill, uses)
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -30,7 +30,7 @@
 
     upstream: Upstream
     requests: int
-    tokens: int
+    kv_tokens: int
     """Prompt tokens plus the output limits: the memory that the requests may use."""
     prefill_tokens: int
     """Prompt tokens of requests that have not returned their first token yet."""
--- a/src/persimmonhitch/direct/peer_work.py
+++ b/src/persimmonhitch/direct/peer_work.py
@@ -17,13 +17,13 @@
     """Work of all peers at one upstream."""
 
     requests: int = 0
-    tokens: int = 0
+    kv_tokens: int = 0
     prefill_tokens: int = 0
 
     def add(self, work: UpstreamWork, sign: int) -> None:
         """Add the work of one peer, or subtract it if ``sign`` is -1."""
         self.requests += sign * work.requests
-        self.tokens += sign * work.tokens
+        self.kv_tokens += sign * work.kv_tokens
         self.prefill_tokens += sign * work.prefill_tokens
 
 
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -188,7 +188,7 @@
                 self._mark_changed()
 
     def connection_lost(
-        self, fingerprint: Fingerprint, record: UpstreamRecord, fresh: bool
+        self, fingerprint: Fingerprint, record: UpstreamRecord, recent: bool
     ) -> None:
         """Record that a request lost the connection to its upstream.
 
@@ -201,8 +201,8 @@
                 instance, _LocalCrash(record, now, now + CHECK_DELAY_S)
             )
             crash.at = now
-            crash.lost[fingerprint] = fresh or crash.lost.get(fingerprint, False)
-            self._history.record_lost(instance, {fingerprint: fresh}, now, now)
+            crash.lost[fingerprint] = recent or crash.lost.get(fingerprint, False)
+            self._history.record_lost(instance, {fingerprint: recent}, now, now)
             self._mark_changed(instance)
 
     def answered(self, record: UpstreamRecord, sent_at: float) -> None:
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -133,11 +133,11 @@
             )
 
     def _set_allowance(self, instance: UpstreamInstance, rate: float) -> None:
-        found = self._allowances.get(instance.name)
-        if found is None or found[0] != instance:
+        entry = self._allowances.get(instance.name)
+        if entry is None or entry[0] != instance:
             self._allowances[instance.name] = instance, Allowance(rate)
         else:
-            found[1].rate = rate
+            entry[1].rate = rate
         if instance in self._grants:
             self._grants[instance].resize(rate)
 
@@ -182,9 +182,9 @@
         """Count a request that is sent."""
         if self._allowances:
             with self._lock:
-                found = self._allowances.get(upstream)
-                if found is not None:
-                    found[1].consume()
+                entry = self._allowances.get(upstream)
+                if entry is not None:
+                    entry[1].consume()
 
     def wait_s(self, upstreams: Iterable[Upstream]) -> float | None:
         """Return the shortest wait in seconds until one of the upstreams is available.
@@ -239,10 +239,10 @@
     def receive_grant(self, grant: LimitGrant) -> None:
         """Apply the answer of the leader."""
         with self._lock:
-            found = self._allowances.get(grant.upstream)
-            if found is None or found[0].started_at_ms != grant.started_at_ms:
+            entry = self._allowances.get(grant.upstream)
+            if entry is None or entry[0].started_at_ms != grant.started_at_ms:
                 return
-            found[1].receive_reply(grant.wait_ms / 1000, self._clock())
+            entry[1].receive_reply(grant.wait_ms / 1000, self._clock())
         self._on_change()
 
     # -- updates between entries ---------------------------------------------------
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -268,7 +268,7 @@
             slots=state.record.slots,
             kv_capacity=kv_capacity,
             running=own.requests + peers.requests,
-            kv_tokens=own.tokens + peers.tokens,
+            kv_tokens=own.kv_tokens + peers.kv_tokens,
             unread=own.prefill_tokens + peers.prefill_tokens,
             has_model=model is not None and state.has(model, None, now),
             has_adapter=model is not None and state.has(model, request.adapter, now),
