--- a/src/persimmonhitch/direct/broadcast.py
+++ b/src/persimmonhitch/direct/broadcast.py
@@ -32,6 +32,7 @@
     sender: Vm | None
     """The neighbour that sent the item; None for a message of this entry."""
     from_root: bool
+    """Whether the neighbour sent the item as one root of the overlay to another."""
     queued_at: float
 
 
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -73,6 +73,7 @@
     upstream: Upstream
     started_at_ms: int
     order_count: int
+    """Orders that the engine has taken since its start."""
     models: dict[Model, tuple[Adapter, ...]]
     loading: dict[Model, float]
     """Models that are loading, with the seconds remaining."""
@@ -148,10 +149,11 @@
     upstream: Upstream
     started_at_ms: int
     age_ms: int
+    """Time since the newest loss."""
     confirmed: bool
-    """Whether the upstream was seen to have ended."""
+    """Whether the end of the upstream process is confirmed."""
     lost: dict[Fingerprint, bool]
-    """Whether each request had only just started to run or had not answered yet."""
+    """For each request, whether it had only just started or had not answered yet."""
 
 
 @dataclass(frozen=True)
@@ -201,12 +203,13 @@
     rate_per_s: float | None
     """None if the limit can't be parsed."""
     age_ms: int
+    """Time since the answer."""
 
 
 @message(76)
 @dataclass(frozen=True)
 class EraUpdate:
-    """Announces that the store was restored from an older copy, in ``era``."""
+    """Announces a restore of the store from an older copy, which increases ``era``."""
 
     era: int
 
@@ -232,9 +235,10 @@
 @message(75)
 @dataclass(frozen=True)
 class LimitGrant:
-    """Reply to a ``LimitRequest``: one request now, or the wait until the next try."""
+    """Reply to a ``LimitRequest``: permission for one request, or a wait."""
 
     upstream: Upstream
     started_at_ms: int
     recipient: Vm
     wait_ms: int
+    """0 if a request may be sent now."""
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -28,7 +28,7 @@
 """Time between the announcement of a trial to the peers and its start; two entries that
 send the same suspect at once would both lose an upstream."""
 ANNOUNCEMENT_TTL_S: Final = 0.3
-"""Time after which an announcement ends if no attempt waits to be sent."""
+"""Time after which an announcement expires if no attempt waits to be sent."""
 EXPIRY_INTERVAL_S: Final = 1.0
 """Interval at which outdated observations are dropped."""
 TRIAL_TTL_S: Final = 2.5
@@ -45,6 +45,7 @@
     check_at: float
     confirmed: bool = False
     lost: dict[Fingerprint, bool] = field(default_factory=dict)
+    """Lost requests, as in ``CrashReport``."""
 
 
 @dataclass(frozen=True)
@@ -117,7 +118,7 @@
             reason = "upstreams crashed each time that this request ran"
             return Failure(ErrorCode.CRASHES_UPSTREAMS, reason, retry_after=remaining_s)
         if is_suspected and self._is_isolated():
-            # Peers may know of more crashes; the caller's next try can reach one.
+            # Peers may know of more crashes; the caller's next try can reach a peer.
             reason = (
                 "an upstream crashed while this request ran; another entry may know"
             )
@@ -192,7 +193,7 @@
     ) -> None:
         """Record that a request lost the connection to its upstream.
 
-        ``fresh`` tells whether it had only just started to run or had not answered yet.
+        ``recent`` tells whether it had only just started or had not answered yet.
         """
         now = self._clock()
         instance = instance_of(record)
@@ -420,6 +421,7 @@
         }
 
     def _trials(self) -> set[Trial]:
+        """Return the trials at this entry, running or announced."""
         running = {
             Trial(fingerprint, upstream)
             for fingerprint in self._history.suspects()
--- a/src/persimmonhitch/direct/quota.py
+++ b/src/persimmonhitch/direct/quota.py
@@ -29,6 +29,7 @@
         self._lock = threading.Lock()
         self._buckets: dict[Account, PooledBucket] = {}
         self._received: dict[Vm, float] = {}
+        """Time as of which the newest usage of each peer was reported."""
 
     def update(self, cfg: FleetConfig) -> None:
         """Apply the rates of a new configuration."""
@@ -81,8 +82,8 @@
     ) -> None:
         """Deduct the tokens spent at a peer since its previous update.
 
-        ``used`` are totals since the start of the peer, and ``as_of`` is the monotonic
-        time at which they held, now if None.
+        ``tokens_used`` are totals since the start of the peer as of the monotonic time
+        ``as_of``, which is now if None.
         """
         now = self._clock()
         with self._lock:
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -34,11 +34,11 @@
     limit: RequestLimit | None
     """None if the limit was lifted."""
     rate: float
-    """Requests a second that are sent under the limit."""
+    """Requests a second that the fleet sends under the limit."""
     reported_at: float
     """When the upstream reported the limit, in monotonic seconds."""
     own_at: float
-    """When this entry last received a limit from the upstream itself."""
+    """When this entry last received the limit from the upstream itself."""
 
 
 class UpstreamLimits:
@@ -127,7 +127,7 @@
             log(
                 event,
                 upstream=instance.name,
-                said=limit.per_second if limit else None,
+                reported=limit.per_second if limit else None,
                 rate=self._states[instance].rate,
                 age=self._clock() - at,
             )
@@ -168,6 +168,7 @@
         return frozenset(excluded)
 
     def _ready(self, upstream: Upstream) -> bool:
+        """Return whether a request may be sent; request a grant if none is left."""
         instance, allowance = self._allowances[upstream]
         now = self._clock()
         if not allowance.can_send(now) and allowance.should_ask(
--- a/src/persimmonhitch/limits/pooled.py
+++ b/src/persimmonhitch/limits/pooled.py
@@ -46,7 +46,7 @@
     """Tokens a second that peers spent recently, as of ``_peer_rate_at``."""
     _peer_rate_at: float = 0.0
     _peer_used: dict[Vm, float] = field(default_factory=dict)
-    """The usage that each peer reported last."""
+    """The newest total reported by each peer."""
 
     _max_level: float = 0.0
     """Upper bound of the level: the burst less the share of unresponsive entries."""
@@ -106,7 +106,7 @@
         previous = self._peer_used.get(vm)
         self._peer_used[vm] = used
         if previous is None:
-            # The total of a new peer covers an unknown time.
+            # The total of a newly seen peer covers an unknown time span.
             return
         spent = used - previous
         if spent < -self.burst:
