--- a/src/persimmonhitch/decide/dispatch.py
+++ b/src/persimmonhitch/decide/dispatch.py
@@ -190,5 +190,5 @@
 
 def _is_equivalent(view: UpstreamView, best: UpstreamView, zone: Zone) -> bool:
     """Return whether an upstream differs from the best one in its wait alone."""
-    same_side = (view.zone == zone) == (best.zone == zone)
-    return same_side and view.has_adapter == best.has_adapter
+    same_locality = (view.zone == zone) == (best.zone == zone)
+    return same_locality and view.has_adapter == best.has_adapter
--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -177,13 +177,11 @@
         for _, fingerprint, counts in sorted(candidates, key=lambda c: c[:2]):
             if now - counts.latest_at < SETTLE_S:
                 return None
-            if counts.unexplained >= TIED_LIMIT or not self._is_tied(
-                fingerprint, counts
-            ):
+            if counts.unexplained >= TIED_LIMIT or not self._tied(fingerprint, counts):
                 return fingerprint
         return None
 
-    def _is_tied(self, fingerprint: Fingerprint, counts: CrashCounts) -> bool:
+    def _tied(self, fingerprint: Fingerprint, counts: CrashCounts) -> bool:
         """Return whether another suspect of the latest crash has as many crashes."""
         suspects = (
             self._suspected(crash)
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -154,8 +154,8 @@
     """Return the load with the largest gain, or None if none exceeds its cost."""
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in demand if m in specs and state.relief(m) > 0]
-    best_moves = [_best(state, model, cold_allowed) for model in requested]
-    worthwhile = [gain for gain in best_moves if gain is not None]
+    best_gains = [_best(state, model, cold_allowed) for model in requested]
+    worthwhile = [gain for gain in best_gains if gain is not None]
     return max(worthwhile, key=lambda gain: gain.gain).move if worthwhile else None
 
 
--- a/tests/test_decide_overlay.py
+++ b/tests/test_decide_overlay.py
@@ -25,7 +25,7 @@
     return node
 
 
-def test_the_vm_with_most_processor_time_is_the_parent():
+def test_vm_with_most_processor_time_is_the_parent():
     """A parent on the smallest VM would relay all updates late."""
     weak, strong = members("a", "b"), members("c", cores=STRONG)
     assert overlay(weak[0], [weak[1], *strong]).routes(0.0).parent == "c"
--- a/tests/test_decide_residency.py
+++ b/tests/test_decide_residency.py
@@ -161,13 +161,13 @@
 
 
 def test_drain_time_is_learned_from_unloads():
-    drains = DrainEstimate()
+    estimate = DrainEstimate()
     for _ in range(20):
-        drains.record(7.0)
-    assert 6.5 < drains.expected_s <= 7.0
+        estimate.record(7.0)
+    assert 6.5 < estimate.expected_s <= 7.0
 
 
-def test_a_busy_model_gets_a_second_copy():
+def test_busy_model_gets_a_second_copy():
     engines = [engine("e1", "a", "b"), engine("e2", "c", "d", disk=("a", "c", "d"))]
     move = next_move(SPECS, demand_of(a=30_000, b=9000, c=0, d=0), engines, True)
     assert (move.model, move.upstream) == ("a", "e2")
--- a/tests/test_decide_waiting.py
+++ b/tests/test_decide_waiting.py
@@ -27,14 +27,14 @@
     """The last copy of a model fails. A request with time for a load waits; one without
     is refused at once with a retry time, instead of at its deadline.
     """
-    waits, now = LoadWaitEstimator(INITIAL_LOAD_S), 0.0
+    estimator, now = LoadWaitEstimator(INITIAL_LOAD_S), 0.0
     for seconds in loads:
-        waits.record_missing("m", now)
+        estimator.record_missing("m", now)
         now += seconds
-        waits.record_served("m", now)
-    waits.record_missing("m", now)
+        estimator.record_served("m", now)
+    estimator.record_missing("m", now)
     now += missing_s
-    refusal = waits.refusal("m", now, now + timeout)
+    refusal = estimator.refusal("m", now, now + timeout)
     if retry_after is None:
         assert refusal is None
         return
@@ -46,6 +46,6 @@
 
 
 @pytest.mark.parametrize(("spare", "refused"), [(1, True), (0, False)])
-def test_a_full_entry_still_answers(spare, refused):
+def test_full_entry_still_answers(spare, refused):
     failure = connections_refusal(128 - RESERVED_THREADS + spare, 128)
     assert (failure is not None) is refused
