--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -237,7 +237,7 @@
     """Return the seconds to a copy loaded from cached weights, infinity without any."""
     spec = state.specs[model]
     times = [
-        engine.busy_s + spec.load_disk
+        engine.busy_s + spec.disk_load_s
         for engine in state.engines
         if model in engine.in_memory | engine.on_disk and model not in engine.models
     ]
@@ -322,7 +322,7 @@
     return sum(
         state.demand.get(model, 0.0) / max(1, state.copies.get(model, 1))
         for model in remaining
-        if model in state.specs and state.specs[model].adapters
+        if model in state.specs and state.specs[model].adapter_count
     )
 
 
@@ -330,22 +330,22 @@
     spec = state.specs[model]
     resident = engine.models | engine.loading
     free = engine.memory_mb - engine.adapters_memory_mb
-    free -= sum(state.specs[m].memory for m in resident if m in state.specs)
+    free -= sum(state.specs[m].memory_mb for m in resident if m in state.specs)
     evicted: list[Model] = []
     candidates = sorted(
         engine.models - engine.evicting - engine.settling, key=state.copy_value
     )
     for evictee in candidates:
-        if free >= spec.memory:
+        if free >= spec.memory_mb:
             break
         if evictee in state.specs:
             evicted.append(evictee)
-            free += state.specs[evictee].memory
-    if free < spec.memory:
+            free += state.specs[evictee].memory_mb
+    if free < spec.memory_mb:
         return None
     drain_s = engine.drain_s if engine.in_use.intersection(evicted) else 0.0
     cached = model in engine.in_memory | engine.on_disk
-    load_s = spec.load_cold
+    load_s = spec.cold_load_s
     if cached:
-        load_s = spec.load_memory if model in engine.in_memory else spec.load_disk
+        load_s = spec.memory_load_s if model in engine.in_memory else spec.disk_load_s
     return Move(model, engine.upstream, tuple(evicted), not cached, load_s, drain_s)
--- a/src/persimmonhitch/direct/admit.py
+++ b/src/persimmonhitch/direct/admit.py
@@ -60,7 +60,7 @@
     if not active.cfg.version:
         reason = "no configuration is in force here yet"
         return Err(Failure(ErrorCode.STORE_UNAVAILABLE, reason, retry_after=0.5))
-    if not caller.request:
+    if not caller.request_id:
         return Err(Failure(ErrorCode.BAD_REQUEST, "the request has no id"))
     route = active.routes.find(req.headers.get("host", ""), _path(req))
     if route is None:
@@ -69,7 +69,7 @@
     if account is None and active.cfg.accounts and not route.public:
         return Err(Failure(ErrorCode.UNAUTHENTICATED, "the key is not known"))
     arrived = clock()
-    timeout_s = DEFAULT_TIMEOUT_S if caller.patience is None else caller.patience
+    timeout_s = DEFAULT_TIMEOUT_S if caller.timeout_s is None else caller.timeout_s
     deadline_at = arrived + min(route.timeout, timeout_s)
     digest = fingerprint(_path(req), account.name if account else None, req.body)
     return Success(
@@ -90,14 +90,14 @@
 
 
 def _account(cfg: FleetConfig, caller: CallerHeaders) -> AccountSpec | None:
-    name = cfg.keys.get(caller.key or "")
+    name = cfg.keys.get(caller.api_key or "")
     return None if name is None else cfg.accounts.get(name)
 
 
 def _token_cost(caller: CallerHeaders, account: AccountSpec | None) -> Tokens:
-    if caller.counted:
+    if caller.has_token_counts:
         return Tokens(caller.prompt_tokens + caller.output_tokens)
-    return account.plain_cost if account is not None else Tokens(0)
+    return account.flat_cost if account is not None else Tokens(0)
 
 
 def _make_request(
@@ -117,7 +117,7 @@
         kv_tokens=caller.prompt_tokens + caller.output_tokens,
         rank=route.rank if rank is None else rank,
         arrived=arrived,
-        latency_target_at=arrived + route.aim,
+        latency_target_at=arrived + route.latency_target,
         first_event_by=_first_event_deadline(route, arrived, deadline_at),
         deadline_at=deadline_at,
         fingerprint=digest,
@@ -129,8 +129,8 @@
         return deadline_at
     wait_s = max(
         MIN_EVENT_WAIT_S,
-        LATENCY_TARGET_FACTOR * route.aim,
-        TOKEN_GAP_FACTOR * route.gap_aim,
+        LATENCY_TARGET_FACTOR * route.latency_target,
+        TOKEN_GAP_FACTOR * route.token_gap_target,
     )
     return min(deadline_at, arrived + wait_s)
 
--- a/src/persimmonhitch/direct/app.py
+++ b/src/persimmonhitch/direct/app.py
@@ -35,7 +35,7 @@
             refusal = self._refusal()
             if refusal is not None:
                 caller = read_caller(req.headers)
-                return _refuse_early(refusal, caller.request or new_request_id())
+                return _refuse_early(refusal, caller.request_id or new_request_id())
             return self._gateway.handle(req)
         except Exception as exc:
             log("request_failed", error=repr(exc))
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -160,7 +160,7 @@
         account = admitted.account.name if admitted.account is not None else None
         rank = request.rank if request.model is not None else None
         return OutgoingRequest(
-            admitted.caller.request,
+            admitted.caller.request_id,
             req.method,
             req.target,
             wire.upstream_headers(
@@ -198,7 +198,7 @@
         if marks.not_run:
             return Err(self._record_refusal(request, reply))
         request.attempts += 1
-        if reply.status < 300 and not marks.signed:
+        if reply.status < 300 and not marks.has_signature:
             reply.close()
             self._dispatcher.record_failure(record, False)
             reason = "the answer is not the upstream's"
--- a/src/persimmonhitch/direct/engine_client.py
+++ b/src/persimmonhitch/direct/engine_client.py
@@ -9,7 +9,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..fleet.upstream import Holding, UpstreamRecord
+from ..fleet.upstream import EngineInventory, UpstreamRecord
 from ..ids import Adapter, Epoch, Model, Vm
 from ..platform import headers, names
 from ..platform.upstream_format import decode_report, encode_order
@@ -85,7 +85,7 @@
             return OrderOutcome.UNKNOWN
         return OUTCOME_BY_STATUS.get(answer.status, OrderOutcome.UNKNOWN)
 
-    def get_report(self, record: UpstreamRecord) -> Result[Holding, str]:
+    def get_report(self, record: UpstreamRecord) -> Result[EngineInventory, str]:
         """Return an engine's inventory, some hundred ms old, or an error text."""
         if not self._limits.acquire_report_slot(record):
             return Err("request limit reached")
--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -10,7 +10,7 @@
 
 from ..decide.drain_estimate import DrainEstimate
 from ..fleet.config import EngineSpec, ModelSpec
-from ..fleet.upstream import Holding, UpstreamRecord
+from ..fleet.upstream import EngineInventory, UpstreamRecord
 from ..ids import Adapter, Epoch, Model
 from ..observe.logs import log
 from .engine_client import EngineClient, Order, OrderOutcome
@@ -59,7 +59,7 @@
 
     record: UpstreamRecord
     spec: EngineSpec
-    inventory: Holding | None = None
+    inventory: EngineInventory | None = None
     adapter_used_at: dict[tuple[Model, Adapter], float] = field(default_factory=dict)
     unloading: set[tuple[Model, Adapter]] = field(default_factory=set)
     """Adapters with an unload in progress; each occupies its slot until completion."""
@@ -72,25 +72,25 @@
     def memory_used(self) -> float:
         """Return the MB used by models, including one being loaded, and adapters."""
         if self.inventory is None:
-            return self.spec.memory
+            return self.spec.memory_mb
         resident = set(self.inventory.models)
         if self.loading is not None:
             resident.add(self.loading)
-        used = sum(self._model_spec(m).memory for m in resident)
+        used = sum(self._model_spec(m).memory_mb for m in resident)
         return used + self.adapters_memory()
 
     def adapters_memory(self) -> float:
         """Return the MB to reserve for adapters: all slots at the largest size."""
         if self.inventory is None:
             return 0.0
-        size = max((m.adapter_memory for m in self.spec.models.values()), default=0.0)
+        size = max((m.adapter_mb for m in self.spec.models.values()), default=0.0)
         return size * self.spec.adapter_slots
 
     def _model_spec(self, name: Model) -> ModelSpec:
         spec = self.spec.models.get(name)
         # A model that was removed from the configuration still uses memory. Its size is
         # unknown, so it counts as the engine's whole memory.
-        return spec or ModelSpec(name, self.spec.memory, 0, 0, 0, 0, 0)
+        return spec or ModelSpec(name, self.spec.memory_mb, 0, 0, 0, 0, 0)
 
 
 class EngineController:
@@ -154,27 +154,27 @@
                 error=result.failure(),
             )
             return False
-        inventory: Holding = result.unwrap()
+        inventory: EngineInventory = result.unwrap()
         old = self.engine.inventory
-        if old is not None and old.orders > inventory.orders:
+        if old is not None and old.order_count > inventory.order_count:
             return False
         self._set_inventory(inventory)
         self._log_inventory(inventory)
         return True
 
-    def _set_inventory(self, inventory: Holding) -> None:
+    def _set_inventory(self, inventory: EngineInventory) -> None:
         self.engine.inventory = inventory
         # An adapter that is no longer loaded, e.g. since its model was unloaded, has
         # released its slot.
         self.engine.unloading = {p for p in self.engine.unloading if inventory.has(*p)}
 
-    def _log_inventory(self, inventory: Holding) -> None:
+    def _log_inventory(self, inventory: EngineInventory) -> None:
         loaded = [f"{m}/{'+'.join(sorted(a))}" for m, a in inventory.models.items()]
-        loading = [f"{m}/{'+'.join(sorted(a))}" for m, a in inventory.incoming.items()]
+        loading = [f"{m}/{'+'.join(sorted(a))}" for m, a in inventory.loading.items()]
         log(
             "engine_learned",
             upstream=self.engine.record.name,
-            orders=inventory.orders,
+            orders=inventory.order_count,
             held=",".join(loaded) or "-",
             coming=",".join(loading) or "-",
             busy=inventory.busy,
@@ -214,11 +214,11 @@
             if model in engine.evicting or engine.loading is not None:
                 # An engine accepts no adapter orders during a model load.
                 return False
-            if inventory.has(model, adapter) or adapter in inventory.incoming.get(
+            if inventory.has(model, adapter) or adapter in inventory.loading.get(
                 model, frozenset()
             ):
                 return True
-            if inventory.places_taken() >= engine.spec.adapter_slots:
+            if inventory.adapter_slots_used() >= engine.spec.adapter_slots:
                 if not self._free_adapter_slot():
                     return False
                 continue
@@ -233,18 +233,18 @@
     def _mark_adapter_loading(self, model: Model, adapter: Adapter) -> None:
         inventory = self.engine.inventory
         assert inventory is not None
-        incoming = dict(inventory.incoming)
+        incoming = dict(inventory.loading)
         incoming[model] = incoming.get(model, frozenset()) | {adapter}
-        self.engine.inventory = replace(inventory, incoming=incoming)
+        self.engine.inventory = replace(inventory, loading=incoming)
 
     def _mark_adapter_loaded(self, model: Model, adapter: Adapter) -> None:
         inventory = self.engine.inventory
         if inventory is None or model not in inventory.models:
             return
-        models, incoming = dict(inventory.models), dict(inventory.incoming)
+        models, incoming = dict(inventory.models), dict(inventory.loading)
         models[model] = models[model] | {adapter}
         incoming[model] = incoming.get(model, frozenset()) - {adapter}
-        self.engine.inventory = replace(inventory, models=models, incoming=incoming)
+        self.engine.inventory = replace(inventory, models=models, loading=incoming)
         self.engine.adapter_used_at[model, adapter] = self._clock()
 
     def _free_adapter_slot(self) -> bool:
@@ -295,8 +295,8 @@
         result = self._client.get_report(self.engine.record)
         if inventory is None or not isinstance(result, Success):
             return False
-        report: Holding = result.unwrap()
-        if report.orders != inventory.orders:
+        report: EngineInventory = result.unwrap()
+        if report.order_count != inventory.order_count:
             return False
         unloaded = [pair for pair in self.engine.unloading if not report.has(*pair)]
         for model, adapter in unloaded:
@@ -351,7 +351,7 @@
                 inventory = engine.inventory
                 if inventory is None or inventory.has(model, None):
                     return
-                if engine.memory_used() > engine.spec.memory:
+                if engine.memory_used() > engine.spec.memory_mb:
                     log("no_room", upstream=engine.record.name, model=model)
                     return
                 outcome = self._send_with_retry(Order(True, model))
@@ -361,7 +361,7 @@
                     return
                 engine.ready_at = self._clock() + load_s
                 self._publish(self)
-            if load_s < engine.spec.models[model].load_cold:
+            if load_s < engine.spec.models[model].cold_load_s:
                 self._sleep(load_s + LOAD_MARGIN_S)
                 self._mark_model_loaded(model)
                 load_s = 0.0
@@ -418,7 +418,7 @@
         self.engine.inventory = replace(inventory, models=models)
 
     def _wait_for_report(
-        self, is_done: Callable[[Holding], bool], min_wait_s: float
+        self, is_done: Callable[[EngineInventory], bool], min_wait_s: float
     ) -> bool:
         """Wait until the engine's report confirms an order."""
         self._sleep(max(min_wait_s, REPORT_LAG_S))
@@ -436,7 +436,7 @@
         return False
 
     def _apply_report(
-        self, report: Holding, is_done: Callable[[Holding], bool]
+        self, report: EngineInventory, is_done: Callable[[EngineInventory], bool]
     ) -> bool | None:
         """Apply a report; return whether the order is done, None if still pending."""
         with self.lock:
@@ -444,7 +444,11 @@
             if inventory is None:
                 return False
             # A report that predates the last order does not show its effect.
-            if report.orders < inventory.orders or report.busy or not is_done(report):
+            if (
+                report.order_count < inventory.order_count
+                or report.busy
+                or not is_done(report)
+            ):
                 return None
             self._set_inventory(report)
             return True
@@ -458,7 +462,7 @@
             return OrderOutcome.FENCED
         self.last_order_at = self._clock()
         outcome = self._client.send_order(
-            self.engine.record, order, inventory.orders, epoch
+            self.engine.record, order, inventory.order_count, epoch
         )
         log(
             "order",
@@ -466,13 +470,15 @@
             load=order.load,
             model=order.model,
             adapter=order.adapter or "-",
-            after=inventory.orders,
+            after=inventory.order_count,
             epoch=epoch,
             outcome=outcome.value,
         )
         unloaded = outcome is OrderOutcome.ALREADY_DONE and not order.load
         if outcome is OrderOutcome.ACCEPTED or unloaded:
-            self.engine.inventory = replace(inventory, orders=inventory.orders + 1)
+            self.engine.inventory = replace(
+                inventory, order_count=inventory.order_count + 1
+            )
         return outcome
 
     def _resync(self, outcome: OrderOutcome) -> bool:
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -14,7 +14,7 @@
 from urllib3.exceptions import HTTPError
 from urllib3.util import SKIP_HEADER
 
-from ..fleet.call import ReplyMarks
+from ..fleet.call import ReplyHeaders
 from ..ids import RequestId
 from ..verdict import ErrorCode, Failure, Verdict
 from .abort import Abort
@@ -53,7 +53,7 @@
 
     status: int
     headers: dict[str, str]
-    marks: ReplyMarks
+    marks: ReplyHeaders
     _response: BaseHTTPResponse
     _conn: HTTPConnection
     _release_conn: Callable[[], None]
@@ -108,7 +108,7 @@
     def __init__(
         self,
         pool: ConnectionPool,
-        read_marks: Callable[[int, dict[str, str]], ReplyMarks],
+        read_marks: Callable[[int, dict[str, str]], ReplyHeaders],
     ) -> None:
         self._pool = pool
         self._read_marks = read_marks
@@ -158,7 +158,7 @@
         response = conn.getresponse()
         headers = {k.lower(): v for k, v in response.headers.items()}
         marks = self._read_marks(response.status, headers)
-        if marks.request is not None and marks.request != req.request_id:
+        if marks.request_id is not None and marks.request_id != req.request_id:
             # A late answer to another request; this request may still be running.
             raise ValueError("the answer belongs to another request")
         length = headers.get("content-length", "")
@@ -169,7 +169,7 @@
                 marks,
                 response,
                 conn,
-                lambda: self._pool.release(address, conn, marks.idle_limit),
+                lambda: self._pool.release(address, conn, marks.idle_timeout_s),
                 int(length) if length.isdigit() else None,
             )
         )
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -99,7 +99,7 @@
     def _deny(
         self, exc: Failure, caller: CallerHeaders, active: ActiveConfig
     ) -> Answer:
-        request_id = caller.request or new_request_id()
+        request_id = caller.request_id or new_request_id()
         log(
             "request_refused",
             request=request_id,
@@ -127,7 +127,7 @@
             return self._fail(request, result.failure())
         reply: Reply = result.unwrap()
         if request.admitted.route.kind is CallKind.STREAM and reply.status < 300:
-            headers = wire.caller_headers(reply.headers)
+            headers = wire.response_headers(reply.headers)
             request.reply = reply
             return Answer(reply.status, headers, _StreamBody(self, request))
         return self._buffered_answer(request, reply)
@@ -144,7 +144,7 @@
                 if not isinstance(retried, Success):
                     return self._fail(request, retried.failure())
                 reply = retried.unwrap()
-        headers = wire.caller_headers(reply.headers)
+        headers = wire.response_headers(reply.headers)
         headers["content-length"] = str(len(body))
         self._poison.completed(request.fingerprint)
         self._tracker.settle(request, None, reply.status)
--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -44,7 +44,7 @@
     @property
     def request_id(self) -> RequestId:
         """Return the request id set by the caller."""
-        return self.admitted.caller.request
+        return self.admitted.caller.request_id
 
     @property
     def fingerprint(self) -> Fingerprint:
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -251,7 +251,7 @@
                 del self._controllers[name]
             for name, record in records.items():
                 spec = self._engine_spec(record.service)
-                if spec is None or record.holding is None:
+                if spec is None or record.inventory is None:
                     continue
                 controller = self._controllers.get(name)
                 if controller is None or _restarted(controller, record):
@@ -324,8 +324,8 @@
             loading[engine.loading] = max(0.0, engine.ready_at - now)
         return InventoryUpdate(
             engine.record.name,
-            engine.record.born,
-            engine.inventory.orders,
+            engine.record.started_at_ms,
+            engine.inventory.order_count,
             dict(usable_models(engine)),
             loading,
             self._published_epoch,
@@ -483,7 +483,7 @@
 
 
 def _restarted(controller: EngineController, record: UpstreamRecord) -> bool:
-    return record.born != controller.engine.record.born
+    return record.started_at_ms != controller.engine.record.started_at_ms
 
 
 def _engine_view(
@@ -495,7 +495,7 @@
     loading = frozenset({engine.loading} if engine.loading is not None else ())
     return EngineView(
         upstream=engine.record.name,
-        memory_mb=engine.spec.memory,
+        memory_mb=engine.spec.memory_mb,
         adapters_memory_mb=engine.adapters_memory(),
         models=frozenset(inventory.models) if inventory else frozenset(),
         busy_s=controller.busy_for(),
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -21,7 +21,7 @@
 from ..decide.admission import connections_refusal
 from ..decide.overlay import Member, Overlay
 from ..entry.peers import PeerInfo, PeerMesh
-from ..fleet.config import NOTHING, FleetConfig
+from ..fleet.config import EMPTY_CONFIG, FleetConfig
 from ..fleet.routes import RouteTable
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Incarnation, Model, Upstream, Vm, Zone, new_incarnation
@@ -36,9 +36,9 @@
 from ..platform.names import CONFIG_NAME
 from ..platform.store_client import StoreClient
 from ..settings import load
-from ..store.era import Era, Eras
+from ..store.era import Era, EraState
 from ..store.objects import Kind
-from ..store.pushes import Pushes, StorePush, may_follow
+from ..store.pushes import StorePush, WatchRelay, may_follow
 from ..store.registration import Registration
 from ..store.watcher import View
 from ..verdict import ErrorCode, Failure
@@ -101,7 +101,7 @@
         self.vm = Vm(cfg.vm)
         self.incarnation = new_incarnation()
         self.metrics = Metrics("direct", cfg.vm)
-        self.active_config = ActiveConfig(NOTHING, RouteTable(()))
+        self.active_config = ActiveConfig(EMPTY_CONFIG, RouteTable(()))
         self.draining = threading.Event()
         self.refusing = threading.Event()
         """Set during a stop when too little time remains for new requests."""
@@ -111,7 +111,7 @@
             Upstream, tuple[frozenset[Model], frozenset[Model]]
         ] = {}
         """Resident and loading models of each engine in its last broadcast."""
-        self.eras = Eras()
+        self.eras = EraState()
         store = StoreClient(cfg.store, cfg.store_timeout, self.eras)
         host, port = cfg.link[0]
         cores = cfg.cpu_share * cfg.cpu_cores
@@ -130,7 +130,7 @@
             self.mesh.send_frame,
             observe_age=self.metrics.news_age,
         )
-        self.pushes = Pushes(self.mesh.send_frame, note_era=self.eras.note)
+        self.pushes = WatchRelay(self.mesh.send_frame, observe_era=self.eras.observe)
         self.update_delta = UpdateDelta()
         self.peers: frozenset[Vm] = frozenset()
         self.leader_vm: Vm | None = None
@@ -159,8 +159,8 @@
             self._on_entries,
             self.blocked_calls.update,
         )
-        self.watchers = make_watchers(store, listeners, self.pushes.changed)
-        self.pushes.serve(self.watchers)
+        self.watchers = make_watchers(store, listeners, self.pushes.add_changes)
+        self.pushes.set_watchers(self.watchers)
         self.registration = Registration(store, Kind.ENTRY, cfg.vm)
         self.eras.on_change(self._on_era)
         self._register_handlers()
@@ -197,7 +197,7 @@
 
     def _register_handlers(self) -> None:
         self.mesh.on(BroadcastBatch, self.broadcast.receive)
-        self.mesh.on(StorePush, lambda _vm, msg: self.pushes.hear(msg))
+        self.mesh.on(StorePush, lambda _vm, msg: self.pushes.receive(msg))
         self.mesh.on(LoadRequest, self.leader.receive_load_request)
         self.mesh.on(InventoryUpdate, self._on_inventory_update)
         self.mesh.on(StoreProbeReply, self.election.receive_probe_reply)
@@ -262,13 +262,13 @@
     # -- updates ---------------------------------------------------------------------
 
     def _on_era_update(self, _vm: Vm, msg: EraUpdate, _as_of: float) -> None:
-        self.eras.note(Era(msg.era))
+        self.eras.observe(Era(msg.era))
 
     def _on_era(self, era: Era) -> None:
         """Discard all state read before the store was restored from an older copy."""
         self.election.store_restored()
         for watcher in self.watchers.values():
-            watcher.restored()
+            watcher.request_listing()
         self.registration.rewrite()
         self.metrics.store_era(era)
         self.broadcast.publish(EraUpdate(era), urgent=True)
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -64,7 +64,7 @@
 
 def instance_of(record: UpstreamRecord) -> UpstreamInstance:
     """Return the instance of an upstream that a record describes."""
-    return UpstreamInstance(record.name, record.born)
+    return UpstreamInstance(record.name, record.started_at_ms)
 
 
 class PoisonGuard:
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -11,7 +11,7 @@
 from ..decide.dispatch import UpstreamView
 from ..decide.poison import UpstreamInstance
 from ..decide.request_limits import Allowance, GrantBucket, effective_rate
-from ..fleet.call import RequestLimit
+from ..fleet.call import RateLimit
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Upstream, Vm
 from ..observe.logs import log
@@ -31,7 +31,7 @@
 class _LimitState:
     """The last known limit of one upstream."""
 
-    limit: RequestLimit | None
+    limit: RateLimit | None
     """None if the limit was lifted."""
     rate: float
     """Requests a second that the fleet sends under the limit."""
@@ -76,7 +76,7 @@
     # -- reported limits -----------------------------------------------------------
 
     def answered(
-        self, record: UpstreamRecord, limit: RequestLimit | None, sent_at: float
+        self, record: UpstreamRecord, limit: RateLimit | None, sent_at: float
     ) -> None:
         """Apply the limit in an answer to a request sent at ``sent_at``."""
         if limit is None and not self._states:
@@ -100,14 +100,14 @@
                 at = as_of - item.age_ms / 1000
                 old = self._states.get(instance)
                 if old is None or at > old.reported_at:
-                    limit = RequestLimit(item.rate_per_s) if item.is_limited else None
+                    limit = RateLimit(item.rate_per_s) if item.is_limited else None
                     self._record(instance, limit, at, old.own_at if old else -math.inf)
         self._on_change()
 
     def _record(
         self,
         instance: UpstreamInstance,
-        limit: RequestLimit | None,
+        limit: RateLimit | None,
         at: float,
         own_at: float,
     ) -> None:
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -9,9 +9,9 @@
 
 from ..decide.dispatch import DEFAULT_READ_RATE, DispatchRequest, UpstreamView
 from ..decide.health import UpstreamHealth, is_unresponsive, traffic_shares
-from ..fleet.call import Load
+from ..fleet.call import ServerLoad
 from ..fleet.config import FleetConfig
-from ..fleet.upstream import Holding, UpstreamRecord
+from ..fleet.upstream import EngineInventory, UpstreamRecord
 from ..ids import Adapter, Model, Service, Upstream, Vm
 from .local_work import LocalWork
 from .peer_messages import EntryUpdate, InventoryUpdate, UpstreamWork
@@ -44,7 +44,7 @@
     """Record of one upstream with the state observed or reported since."""
 
     record: UpstreamRecord
-    reported: Holding | None = None
+    reported: EngineInventory | None = None
     """Newest inventory from the leader, received at ``reported_at``."""
     reported_at: float = 0.0
     reported_version: tuple[int, int] = (0, 0)
@@ -57,7 +57,7 @@
     solo_read_rate: float | None = None
     """Prompt tokens per second while the engine processes a single prompt."""
     missing_at: dict[tuple[Model, Adapter | None], float] = field(default_factory=dict)
-    load: Load | None = None
+    load: ServerLoad | None = None
 
     def add_solo_sample(self, sample: float) -> None:
         """Add a sample to the weighted average of the single-prompt rate."""
@@ -75,10 +75,10 @@
         since = self.missing_at.get((model, adapter))
         return since is None or now - since > MISSING_TTL_S
 
-    def _inventory(self, now: float) -> Holding | None:
+    def _inventory(self, now: float) -> EngineInventory | None:
         if self.reported is not None and now - self.reported_at < REPORTED_TTL_S:
             return self.reported
-        return self.record.holding
+        return self.record.inventory
 
 
 class UpstreamTable:
@@ -107,7 +107,7 @@
             ):
                 states[record.name] = UpstreamState(record)
                 continue
-            if record.born != old.record.born:
+            if record.started_at_ms != old.record.started_at_ms:
                 # A restart under the same name empties the engine.
                 old = UpstreamState(record)
             old.record = record
@@ -124,7 +124,7 @@
     def receive_inventory(self, msg: InventoryUpdate) -> None:
         """Apply an inventory sent by the leader, unless it is outdated."""
         state = self._states.get(msg.upstream)
-        if state is None or state.record.born != msg.started_at_ms:
+        if state is None or state.record.started_at_ms != msg.started_at_ms:
             return
         if (msg.epoch, msg.sequence) < state.reported_version:
             return
@@ -134,7 +134,7 @@
             state.missing_at.pop((model, None), None)
             for name in names:
                 state.missing_at.pop((model, name), None)
-        state.reported = Holding(msg.order_count, models)
+        state.reported = EngineInventory(msg.order_count, models)
         state.reported_at = self._clock()
         loads = msg.loading.values()
         state.busy_until = state.reported_at + max(loads, default=-1.0) + BUSY_MARGIN_S
--- a/src/persimmonhitch/direct/upstreams.py
+++ b/src/persimmonhitch/direct/upstreams.py
@@ -8,7 +8,7 @@
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Upstream
 from ..observe.logs import log
-from ..platform.upstream_format import UnreadableEntry, decode_upstream
+from ..platform.upstream_format import InvalidUpstreamRecord, decode_upstream
 from ..store.era import era_of
 from ..store.objects import StoredObject, Version
 from ..store.watcher import View
@@ -71,7 +71,7 @@
             return old
         try:
             record = self._keep_draining(old, obj, decode_upstream(name, obj.spec))
-        except UnreadableEntry as exc:
+        except InvalidUpstreamRecord as exc:
             log("upstream_unreadable", name=name, version=obj.version, error=str(exc))
             return _DecodedRecord(obj.version, None)
         self._log_change(old.record if old else None, record)
@@ -84,7 +84,7 @@
         if old is None or old.record is None or not old.record.draining:
             return new
         restored = era_of(obj.version) > era_of(old.version)
-        same_instance = old.record.born == new.born
+        same_instance = old.record.started_at_ms == new.started_at_ms
         return replace(new, draining=True) if restored and same_instance else new
 
     def _log_change(self, old: UpstreamRecord | None, new: UpstreamRecord) -> None:
--- a/src/persimmonhitch/direct/watchers.py
+++ b/src/persimmonhitch/direct/watchers.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..store.objects import Kind, ObjectStore
-from ..store.watcher import Changed, View, Watcher
+from ..store.watcher import ChangeListener, View, Watcher
 from .upstreams import UpstreamList
 
 WATCH_S: Final = 2.0
@@ -37,12 +37,12 @@
 
 
 def make_watchers(
-    store: ObjectStore, listeners: Listeners, changed: Changed
+    store: ObjectStore, listeners: Listeners, changed: ChangeListener
 ) -> dict[Kind, Watcher]:
     """Return a watcher for each kind; ``changed`` receives all changes."""
     return {
         Kind.FLEET: Watcher(
-            store, Kind.FLEET, listeners.config, WATCH_S, MAX_RETRY_S, changed=changed
+            store, Kind.FLEET, listeners.config, WATCH_S, MAX_RETRY_S, on_change=changed
         ),
         Kind.UPSTREAM: Watcher(
             store,
@@ -58,9 +58,9 @@
             store,
             Kind.ENTRY,
             listeners.entries,
-            retry_most=MAX_RETRY_S,
-            pause=ENTRY_WATCH_PAUSE_S,
-            changed=changed,
+            max_retry_s=MAX_RETRY_S,
+            pause_s=ENTRY_WATCH_PAUSE_S,
+            on_change=changed,
         ),
         Kind.BLOCKED: Watcher(
             store,
@@ -68,6 +68,6 @@
             listeners.blocked,
             BLOCKED_WATCH_S,
             MAX_RETRY_S,
-            changed=changed,
+            on_change=changed,
         ),
     }
--- a/src/persimmonhitch/fleet/call.py
+++ b/src/persimmonhitch/fleet/call.py
@@ -29,21 +29,21 @@
 class CallerHeaders:
     """What the headers of a call say; ``patience`` is seconds the caller waits."""
 
-    request: RequestId
-    patience: float | None
-    key: str | None
+    request_id: RequestId
+    timeout_s: float | None
+    api_key: str | None
     model: Model | None
     adapter: Adapter | None
     prompt_tokens: int
     output_tokens: int
-    counted: bool
+    has_token_counts: bool
     """Whether the call came with its own count of tokens."""
-    parts: tuple[PromptPart, ...]
-    last_event: str | None
+    prompt_parts: tuple[PromptPart, ...]
+    last_event_id: str | None
 
 
 @dataclass(frozen=True)
-class Load:
+class ServerLoad:
     """Requests that an upstream runs, that wait there, and its places."""
 
     running: int
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class RequestLimit:
+class RateLimit:
     """Requests a second that an upstream takes from all entries together.
 
     ``per_second`` is None if what it says can't be read.
@@ -62,17 +62,17 @@
 
 
 @dataclass(frozen=True)
-class ReplyMarks:
+class ReplyHeaders:
     """What the headers of an upstream's answer say besides its content."""
 
-    signed: bool
+    has_signature: bool
     """Whether the answer is the upstream's own word on a request it ran."""
     not_run: bool
-    request: RequestId | None
+    request_id: RequestId | None
     instance: Upstream | None
-    load: Load | None
-    limit: RequestLimit | None
+    load: ServerLoad | None
+    limit: RateLimit | None
     """None if it names no limit."""
     retry_after: float | None
-    idle_limit: float | None
+    idle_timeout_s: float | None
     """Seconds after which the upstream closes an idle connection."""
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -39,8 +39,8 @@
     kind: CallKind
     targets: tuple[Target, ...]
     timeout: float
-    aim: float
-    gap_aim: float
+    latency_target: float
+    token_gap_target: float
     rank: int
     max_attempts: int
     public: bool
@@ -57,12 +57,12 @@
     """One model; memory in MB, times of a load in seconds by where its weights are."""
 
     name: Model
-    memory: float
-    load_cold: float
-    load_disk: float
-    load_memory: float
-    adapters: int
-    adapter_memory: float
+    memory_mb: float
+    cold_load_s: float
+    disk_load_s: float
+    memory_load_s: float
+    adapter_count: int
+    adapter_mb: float
 
 
 @dataclass(frozen=True)
@@ -71,7 +71,7 @@
 
     slots: int
     kv_tokens: int
-    memory: float
+    memory_mb: float
     adapter_slots: int
     loads_per_second: float
     """Loads from the weight store that all engines together may begin."""
@@ -84,7 +84,7 @@
 
     name: Service
     health_path: str
-    most_connections: int
+    max_connections: int
     engine: EngineSpec | None
 
 
@@ -97,7 +97,7 @@
     """Replaces the rank of the route where it is given."""
     rate: float
     burst: float
-    plain_cost: Tokens
+    flat_cost: Tokens
     """Tokens that a call without a count of its own costs."""
 
 
@@ -112,5 +112,5 @@
     keys: Mapping[str, Account] = field(default_factory=dict)
 
 
-NOTHING = FleetConfig(ConfigVersion(0))
+EMPTY_CONFIG = FleetConfig(ConfigVersion(0))
 """Stands for the configuration until one has been read."""
--- a/src/persimmonhitch/fleet/upstream.py
+++ b/src/persimmonhitch/fleet/upstream.py
@@ -6,20 +6,20 @@
 
 from ..ids import Adapter, Model, Service, Upstream, Zone
 
-ORDERS_UNKNOWN: Final = -1
+NOT_COUNTED: Final = -1
 
 
 @dataclass(frozen=True)
-class Holding:
+class EngineInventory:
     """What one engine holds, as of a number of orders that it took.
 
     ``orders`` starts anew with each start of the engine. An engine tells it in its own
     report; its entry in the store leaves it out, ``ORDERS_UNKNOWN``.
     """
 
-    orders: int
+    order_count: int
     models: Mapping[Model, frozenset[Adapter]]
-    incoming: Mapping[Model, frozenset[Adapter]] = field(default_factory=dict)
+    loading: Mapping[Model, frozenset[Adapter]] = field(default_factory=dict)
     """Adapters that are being loaded; they take places already."""
     in_memory: frozenset[Model] = frozenset()
     on_disk: frozenset[Model] = frozenset()
@@ -30,10 +30,10 @@
         adapters = self.models.get(model)
         return adapters is not None and (adapter is None or adapter in adapters)
 
-    def places_taken(self) -> int:
+    def adapter_slots_used(self) -> int:
         """Return the adapters that are there or on their way."""
         return sum(len(a) for a in self.models.values()) + sum(
-            len(a) for a in self.incoming.values()
+            len(a) for a in self.loading.values()
         )
 
 
@@ -48,7 +48,7 @@
     zone: Zone
     slots: int
     draining: bool
-    born: int
+    started_at_ms: int
     """Millisecond at which it started; tells its starts under one name apart."""
-    holding: Holding | None
+    inventory: EngineInventory | None
     """None for a plain service."""
--- a/src/persimmonhitch/platform/config_format.py
+++ b/src/persimmonhitch/platform/config_format.py
@@ -20,7 +20,7 @@
 
 Body = Mapping[str, Any]
 
-KINDS: Final = {
+ROUTE_KINDS: Final = {
     "idempotent": CallKind.IDEMPOTENT,
     "non_idempotent": CallKind.NON_IDEMPOTENT,
     "streaming": CallKind.STREAM,
@@ -51,71 +51,71 @@
         return Err(repr(exc))
 
 
-def _route(item: Body) -> Route:
-    split = item.get("traffic_split") or [{"service": item["service"], "weight": 1}]
+def _route(raw: Body) -> Route:
+    split = raw.get("traffic_split") or [{"service": raw["service"], "weight": 1}]
     return Route(
-        name=str(item["name"]),
-        host=str(item["hostname"]),
-        prefix=str(item["path_prefix"]),
+        name=str(raw["name"]),
+        host=str(raw["hostname"]),
+        prefix=str(raw["path_prefix"]),
         # A kind that is not known here must not be repeated.
-        kind=KINDS.get(item.get("route_kind", ""), CallKind.NON_IDEMPOTENT),
+        kind=ROUTE_KINDS.get(raw.get("route_kind", ""), CallKind.NON_IDEMPOTENT),
         targets=tuple(
             Target(Service(part["service"]), float(part["weight"])) for part in split
         ),
-        timeout=float(item["timeout_ms"]) / 1000,
-        aim=float(item.get("target_latency_ms") or item["timeout_ms"]) / 1000,
-        gap_aim=float(item.get("target_gap_ms") or 0) / 1000,
-        rank=int(item.get("priority") or 0),
-        max_attempts=max(1, int(item.get("max_attempts") or 1)),
-        public=bool(item.get("public_access")),
-        resumable=bool(item.get("resumable")),
+        timeout=float(raw["timeout_ms"]) / 1000,
+        latency_target=float(raw.get("target_latency_ms") or raw["timeout_ms"]) / 1000,
+        token_gap_target=float(raw.get("target_gap_ms") or 0) / 1000,
+        rank=int(raw.get("priority") or 0),
+        max_attempts=max(1, int(raw.get("max_attempts") or 1)),
+        public=bool(raw.get("public_access")),
+        resumable=bool(raw.get("resumable")),
     )
 
 
-def _service(item: Body) -> ServiceSpec:
-    engine = item.get("engine")
+def _service(raw: Body) -> ServiceSpec:
+    engine = raw.get("engine")
     return ServiceSpec(
-        name=Service(item["name"]),
-        health_path=str(item.get("health_check_path") or "/"),
-        most_connections=int(item.get("connection_limit") or 0),
+        name=Service(raw["name"]),
+        health_path=str(raw.get("health_check_path") or "/"),
+        max_connections=int(raw.get("connection_limit") or 0),
         engine=_engine(engine) if engine else None,
     )
 
 
-def _engine(item: Body) -> EngineSpec:
-    models = [_model(model) for model in item.get("models") or ()]
+def _engine(raw: Body) -> EngineSpec:
+    models = [_model(model) for model in raw.get("models") or ()]
     return EngineSpec(
-        slots=int(item.get("slots") or 0),
-        kv_tokens=int(item.get("kv_capacity") or 0),
-        memory=float(item.get("weights_mb") or 0),
-        adapter_slots=int(item.get("adapter_slots") or 0),
-        loads_per_second=float(item.get("loads_per_s") or 0),
+        slots=int(raw.get("slots") or 0),
+        kv_tokens=int(raw.get("kv_capacity") or 0),
+        memory_mb=float(raw.get("weights_mb") or 0),
+        adapter_slots=int(raw.get("adapter_slots") or 0),
+        loads_per_second=float(raw.get("loads_per_s") or 0),
         models={model.name: model for model in models},
     )
 
 
-def _model(item: Body) -> ModelSpec:
-    cold = float(item.get("load_time_s") or 0)
-    disk = float(item.get("disk_load_s") or cold)
+def _model(raw: Body) -> ModelSpec:
+    cold = float(raw.get("load_time_s") or 0)
+    disk = float(raw.get("disk_load_s") or cold)
     return ModelSpec(
-        name=Model(item["name"]),
-        memory=float(item["weights_mb"]),
-        load_cold=cold,
-        load_disk=disk,
-        load_memory=float(item.get("warm_s") or disk),
-        adapters=int(item.get("adapters") or 0),
-        adapter_memory=float(item.get("adapter_size_mb") or 0),
+        name=Model(raw["name"]),
+        memory_mb=float(raw["weights_mb"]),
+        cold_load_s=cold,
+        disk_load_s=disk,
+        memory_load_s=float(raw.get("warm_s") or disk),
+        adapter_count=int(raw.get("adapters") or 0),
+        adapter_mb=float(raw.get("adapter_size_mb") or 0),
     )
 
 
-def _account(item: Body) -> AccountSpec:
-    rank = item.get("priority")
-    in_tokens = item.get("unit") == "tokens"
+def _account(raw: Body) -> AccountSpec:
+    rank = raw.get("priority")
+    in_tokens = raw.get("unit") == "tokens"
     return AccountSpec(
-        name=Account(item["name"]),
+        name=Account(raw["name"]),
         rank=None if rank is None else int(rank),
-        rate=float(item.get("rate_per_s") or 0),
-        burst=float(item.get("burst_size") or 0),
+        rate=float(raw.get("rate_per_s") or 0),
+        burst=float(raw.get("burst_size") or 0),
         # Without a unit of tokens each call counts as one.
-        plain_cost=Tokens(float(item.get("uncached_tokens") or 1) if in_tokens else 1),
+        flat_cost=Tokens(float(raw.get("uncached_tokens") or 1) if in_tokens else 1),
     )
--- a/src/persimmonhitch/platform/names.py
+++ b/src/persimmonhitch/platform/names.py
@@ -10,12 +10,12 @@
 TOKEN_COUNTS: Final = "x-persimmonhitch-token-counts"
 PROMPT_PREFIX: Final = "x-persimmonhitch-prompt-prefix"
 LENGTH_HINT: Final = "x-persimmonhitch-length-hint"
-LAST_EVENT: Final = "last-event-id"
+LAST_EVENT_ID: Final = "last-event-id"
 AUTHORIZATION: Final = "authorization"
 BEARER: Final = "bearer "
 
 # Headers that only this system may set on a request to an upstream.
-TENANT: Final = "x-persimmonhitch-tenant"
+ACCOUNT: Final = "x-persimmonhitch-tenant"
 EXPECTED_INSTANCE: Final = "x-persimmonhitch-expected-instance"
 PRIORITY: Final = "x-persimmonhitch-request-priority"
 EXPECTED_VERSION: Final = "x-persimmonhitch-expected-version"
@@ -24,10 +24,10 @@
 KV_BACKUP: Final = "x-persimmonhitch-kv-backup"
 KV_FROM: Final = "kv-from"
 KV_FETCH: Final = "kv-fetch"
-WAIT: Final = "wait-ms"
-OWN_HEADERS: Final = frozenset(
-    {TENANT, EXPECTED_INSTANCE, PRIORITY, EXPECTED_VERSION, HOLD, PIN, KV_BACKUP}
-    | {KV_FROM, KV_FETCH, WAIT}
+WAIT_MS: Final = "wait-ms"
+RESERVED_HEADERS: Final = frozenset(
+    {ACCOUNT, EXPECTED_INSTANCE, PRIORITY, EXPECTED_VERSION, HOLD, PIN, KV_BACKUP}
+    | {KV_FROM, KV_FETCH, WAIT_MS}
 )
 
 # Headers of an upstream's answer.
--- a/src/persimmonhitch/platform/objects_format.py
+++ b/src/persimmonhitch/platform/objects_format.py
@@ -19,18 +19,18 @@
 Body = dict[str, Any]
 NO_ERA: Final = Era(0)
 
-KIND_NAMES: Final = {Kind.UPSTREAM: "servers", Kind.FLEET: "config"}
+PLATFORM_KIND_NAMES: Final = {Kind.UPSTREAM: "servers", Kind.FLEET: "config"}
 """Kinds whose name here is not ours; all others are kinds of our own."""
-_KINDS: Final = {KIND_NAMES.get(kind, kind.value): kind for kind in Kind}
+_KINDS: Final = {PLATFORM_KIND_NAMES.get(kind, kind.value): kind for kind in Kind}
 
 
 def path_of(kind: Kind, name: str = "") -> str:
     """Return the path of a kind, or of one object."""
-    path = f"{OBJECTS_PATH}/{KIND_NAMES.get(kind, kind.value)}"
+    path = f"{OBJECTS_PATH}/{PLATFORM_KIND_NAMES.get(kind, kind.value)}"
     return f"{path}/{name}" if name else path
 
 
-def kind_at(path: str) -> tuple[Kind | None, str]:
+def parse_path(path: str) -> tuple[Kind | None, str]:
     """Return the kind and the object's name in a path."""
     kind, _, name = path.removeprefix(f"{OBJECTS_PATH}/").partition("/")
     return _KINDS.get(kind), name
@@ -87,14 +87,14 @@
 
 def decode_changes(kind: Kind, body: Body, era: Era = NO_ERA) -> Changes:
     """Return the changes of a watch's answer."""
-    events = tuple(_event(kind, item, era) for item in body.get("events") or ())
+    events = tuple(_decode_event(kind, item, era) for item in body.get("events") or ())
     return Changes(version_of(era, int(body["at_revision"])), events)
 
 
-def _event(kind: Kind, item: Mapping[str, Any], era: Era) -> Event:
+def _decode_event(kind: Kind, item: Mapping[str, Any], era: Era) -> Event:
     obj = decode_object(kind, item["object"], era)
     meta = item["object"]["metadata"]
     if item.get("deleted"):
         return Event(EventType.DELETED, obj)
-    first = meta.get("created_revision") == meta["revision"]
-    return Event(EventType.ADDED if first else EventType.MODIFIED, obj)
+    is_first_version = meta.get("created_revision") == meta["revision"]
+    return Event(EventType.ADDED if is_first_version else EventType.MODIFIED, obj)
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -8,7 +8,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..store.era import Era, Eras, era_of, revision_of
+from ..store.era import Era, EraState, era_of, revision_of
 from ..store.objects import (
     Changes,
     Kind,
@@ -37,16 +37,16 @@
     413: StoreError.INVALID,
     422: StoreError.INVALID,
 }
-WATCH_SLACK: Final = 0.6
+WATCH_TIMEOUT_MARGIN_S: Final = 0.6
 """Seconds beyond a watch's own time before its connection counts as dead. An answer
 takes milliseconds; a connection that went silent shows by nothing else."""
-RESTORED: Final = "the store has come back from a copy"
-MOST_CONNS: Final = 16
+RESTORED_DETAIL: Final = "the store has come back from a copy"
+MAX_CONNECTIONS: Final = 16
 """Kept connections: a watch a kind, the lease, and short calls."""
 
 
 @dataclass(frozen=True)
-class _Answer:
+class _Reply:
     body: Body
     era: Era
 
@@ -68,66 +68,66 @@
         What is known of the store's eras; clients of one process share it.
     """
 
-    def __init__(self, url: str, timeout: float, eras: Eras | None = None) -> None:
-        self._eras = Eras() if eras is None else eras
+    def __init__(self, url: str, timeout: float, eras: EraState | None = None) -> None:
+        self._eras = EraState() if eras is None else eras
         self._base = url.rstrip("/")
         self._timeout = timeout
         # Retries stay off: a write whose answer was lost may have taken effect,
         # and a blind second send would meet its own first one as a conflict.
         self._http = urllib3.PoolManager(
-            retries=False, maxsize=MOST_CONNS, timeout=timeout
+            retries=False, maxsize=MAX_CONNECTIONS, timeout=timeout
         )
 
-    def _call(
+    def _request(
         self,
         method: str,
         path: str,
         body: Body | None = None,
         timeout: float | None = None,
-    ) -> Result[_Answer, StoreFailure]:
+    ) -> Result[_Reply, StoreFailure]:
         data = None if body is None else json.dumps(body).encode()
         try:
-            answer = self._http.request(
+            reply = self._http.request(
                 method,
                 self._base + path,
                 body=data,
                 headers={"Content-Type": "application/json"},
                 timeout=timeout or self._timeout,
             )
-            parsed = json.loads(answer.data or b"{}")
+            parsed = json.loads(reply.data or b"{}")
         except (urllib3.exceptions.HTTPError, ValueError, OSError) as exc:
             return _failure(StoreError.UNAVAILABLE, repr(exc))
-        era = read_era({k.lower(): v for k, v in answer.headers.items()})
-        if not self._eras.note(era):
+        era = read_era({k.lower(): v for k, v in reply.headers.items()})
+        if not self._eras.observe(era):
             return _failure(StoreError.UNAVAILABLE, "an answer of an older era")
-        if answer.status < 300 and isinstance(parsed, dict):
-            return Success(_Answer(parsed, self._eras.current if era is None else era))
-        error = STATUS_ERRORS.get(answer.status, StoreError.UNAVAILABLE)
-        return _failure(error, f"status {answer.status}")
+        if reply.status < 300 and isinstance(parsed, dict):
+            return Success(_Reply(parsed, self._eras.current if era is None else era))
+        error = STATUS_ERRORS.get(reply.status, StoreError.UNAVAILABLE)
+        return _failure(error, f"status {reply.status}")
 
     def get(self, kind: Kind, name: str) -> Result[StoredObject, StoreFailure]:
         """Return one object."""
-        return self._object(kind, self._call("GET", path_of(kind, name)))
+        return self._decode_reply(kind, self._request("GET", path_of(kind, name)))
 
     def list_all(self, kind: Kind) -> Result[Listing, StoreFailure]:
         """Return all objects of a kind, page by page."""
         items: list[StoredObject] = []
         query = ""
-        first: Era | None = None
+        first_era: Era | None = None
         while True:
-            result = self._call("GET", path_of(kind) + query)
+            result = self._request("GET", path_of(kind) + query)
             if not isinstance(result, Success):
                 return Err(result.failure())
-            answer: _Answer = result.unwrap()
-            first = answer.era if first is None else first
-            if answer.era != first:
+            reply: _Reply = result.unwrap()
+            first_era = reply.era if first_era is None else first_era
+            if reply.era != first_era:
                 return _failure(StoreError.EXPIRED, "restored between two pages")
             try:
-                page, version, more = decode_page(kind, answer.body, answer.era)
+                page, version, has_more = decode_page(kind, reply.body, reply.era)
             except (KeyError, TypeError, ValueError) as exc:
                 return _failure(StoreError.UNAVAILABLE, repr(exc))
             items += page
-            if not more or not page:
+            if not has_more or not page:
                 return Success(Listing(version, tuple(items)))
             query = f"?after={page[-1].name}"
 
@@ -136,64 +136,64 @@
     ) -> Result[StoredObject, StoreFailure]:
         """Create an object."""
         body = encode_object(name, spec, None)
-        result = self._call("POST", path_of(kind), body)
+        result = self._request("POST", path_of(kind), body)
         if not isinstance(result, Success):
-            exc = result.failure()
-            if exc.error is StoreError.CONFLICT:
-                return _failure(StoreError.EXISTS, exc.detail)
-        return self._object(kind, result)
+            failure = result.failure()
+            if failure.error is StoreError.CONFLICT:
+                return _failure(StoreError.EXISTS, failure.detail)
+        return self._decode_reply(kind, result)
 
     def update(
         self, old: StoredObject, spec: Spec
     ) -> Result[StoredObject, StoreFailure]:
         """Replace an object at the version given."""
-        if self._is_over(old.version):
-            return _failure(StoreError.CONFLICT, RESTORED)
+        if self._is_before_restore(old.version):
+            return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         body = encode_object(old.name, spec, old.version)
-        result = self._call("PUT", path_of(old.kind, old.name), body)
+        result = self._request("PUT", path_of(old.kind, old.name), body)
         if isinstance(result, Success) and result.unwrap().era != era_of(old.version):
             # Its revision was given out again, to another content.
-            return _failure(StoreError.CONFLICT, RESTORED)
-        return self._object(old.kind, result)
+            return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
+        return self._decode_reply(old.kind, result)
 
-    def _is_over(self, version: Version) -> bool:
+    def _is_before_restore(self, version: Version) -> bool:
         """Return whether a version is of an era before the newest."""
         return era_of(version) < self._eras.current
 
     def delete(self, old: StoredObject) -> Result[None, StoreFailure]:
         """Delete an object at the version given."""
-        if self._is_over(old.version):
-            return _failure(StoreError.CONFLICT, RESTORED)
+        if self._is_before_restore(old.version):
+            return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         revision = revision_of(old.version)
         path = f"{path_of(old.kind, old.name)}?revision={revision}"
-        return self._call("DELETE", path).map(lambda _answer: None)
+        return self._request("DELETE", path).map(lambda _answer: None)
 
     def watch(
         self, kind: Kind, after: Version, wait: float
     ) -> Result[Changes, StoreFailure]:
         """Return what happened after a version, waiting up to ``wait`` seconds."""
-        if self._is_over(after):
-            return _failure(StoreError.EXPIRED, RESTORED)
-        since = revision_of(after)
-        path = f"{path_of(kind)}?watch={since}&wait_ms={int(wait * 1000)}"
-        result = self._call("GET", path, timeout=wait + WATCH_SLACK)
+        if self._is_before_restore(after):
+            return _failure(StoreError.EXPIRED, RESTORED_DETAIL)
+        revision = revision_of(after)
+        path = f"{path_of(kind)}?watch={revision}&wait_ms={int(wait * 1000)}"
+        result = self._request("GET", path, timeout=wait + WATCH_TIMEOUT_MARGIN_S)
         if not isinstance(result, Success):
             return Err(result.failure())
-        answer: _Answer = result.unwrap()
-        if answer.era != era_of(after):
-            return _failure(StoreError.EXPIRED, RESTORED)
+        reply: _Reply = result.unwrap()
+        if reply.era != era_of(after):
+            return _failure(StoreError.EXPIRED, RESTORED_DETAIL)
         try:
-            return Success(decode_changes(kind, answer.body, answer.era))
+            return Success(decode_changes(kind, reply.body, reply.era))
         except (KeyError, TypeError, ValueError) as exc:
             return _failure(StoreError.UNAVAILABLE, repr(exc))
 
-    def _object(
-        self, kind: Kind, result: Result[_Answer, StoreFailure]
+    def _decode_reply(
+        self, kind: Kind, result: Result[_Reply, StoreFailure]
     ) -> Result[StoredObject, StoreFailure]:
         if not isinstance(result, Success):
             return Err(result.failure())
         try:
-            answer: _Answer = result.unwrap()
-            return Success(decode_object(kind, answer.body, answer.era))
+            reply: _Reply = result.unwrap()
+            return Success(decode_object(kind, reply.body, reply.era))
         except (KeyError, TypeError, ValueError) as exc:
             return _failure(StoreError.UNAVAILABLE, repr(exc))
--- a/src/persimmonhitch/sidecar/main.py
+++ b/src/persimmonhitch/sidecar/main.py
@@ -79,7 +79,7 @@
 
     def _copies_changed(self) -> None:
         self.server.report()
-        self.registration.set(self._spec())
+        self.registration.update(self._spec())
 
     def _spec(self) -> Spec:
         cfg = self.cfg
@@ -107,7 +107,7 @@
         self.server.draining = True
         self.dispatcher.leave().get()
         self.server.report()
-        self.registration.set(self._spec())
+        self.registration.update(self._spec())
         life.forced.wait(NOTICE)
         cut = drain(self.dispatcher, self.cfg.stop_limit, life.forced)
         if cut:
--- a/src/persimmonhitch/standin/store_server.py
+++ b/src/persimmonhitch/standin/store_server.py
@@ -12,7 +12,7 @@
     encode_changes,
     encode_listing,
     encode_object,
-    kind_at,
+    parse_path,
 )
 from ..store.objects import Kind, StoredObject, StoreError, StoreFailure, Version
 from ..web import Answer, Body, Request, json_answer, read_request
@@ -61,7 +61,7 @@
             return json_answer(200, {})
         if req.path == "/calls":
             return json_answer(200, self.state.calls)
-        kind, name = kind_at(req.path)
+        kind, name = parse_path(req.path)
         if kind is None:
             return json_answer(404, {"error": req.path})
         if name:
--- a/src/persimmonhitch/store/era.py
+++ b/src/persimmonhitch/store/era.py
@@ -34,7 +34,7 @@
     return version & ((1 << REVISION_BITS) - 1)
 
 
-class Eras:
+class EraState:
     """The newest era that this process has seen or heard of; safe for many threads."""
 
     def __init__(self) -> None:
@@ -47,27 +47,27 @@
         """Call ``listener`` with each era that follows another one."""
         self._listeners.append(listener)
 
-    def note(self, era: Era | None) -> bool:
+    def observe(self, era: Era | None) -> bool:
         """Take the era of an answer; return whether the answer still counts.
 
         ``None`` stands for an answer without an era that can be read.
         """
         with self._lock:
-            old = self.current
-            known = self._known
+            previous = self.current
+            had_era = self._known
             if era is None:
-                lost, self._missing = known and not self._missing, True
+                is_new_gap, self._missing = had_era and not self._missing, True
             else:
-                lost, self.current, self._known = False, max(old, era), True
-        if lost:
-            log("store_era_missing", era=old)
-        if era is None or era == old:
+                is_new_gap, self.current, self._known = False, max(previous, era), True
+        if is_new_gap:
+            log("store_era_missing", era=previous)
+        if era is None or era == previous:
             return True
-        if era < old:
-            log("store_era_older", era=era, current=old)
+        if era < previous:
+            log("store_era_older", era=era, current=previous)
             return False
-        if known:
-            log("store_restored", era=era, before=old)
+        if had_era:
+            log("store_restored", era=era, before=previous)
             for listener in self._listeners:
                 listener(era)
         return True
--- a/src/persimmonhitch/store/pushes.py
+++ b/src/persimmonhitch/store/pushes.py
@@ -12,15 +12,15 @@
 from ..wire.codec import encode, message
 from .era import Era, era_of
 from .objects import Changes, Event, EventType, Kind, StoredObject, Version
-from .watcher import PUSHED_LIFE, Watcher
+from .watcher import PUSH_TTL_S, Watcher
 
-PUSH_EVERY: Final = 0.4
+PUSH_INTERVAL_S: Final = 0.4
 """Seconds after which those that follow are told that nothing has changed."""
-LIST_TIME: Final = 1.0
+LIST_DURATION_S: Final = 1.0
 """Seconds that a list may take, with its call's timeout."""
-AWAY_TOLD: Final = 5.0
+FAILURE_REPORT_S: Final = 5.0
 """Seconds for which those that follow are told that the store did not answer."""
-MOST_PUSHED: Final = 4096
+MAX_PUSHED_BYTES: Final = 4096
 """Bytes of an object beyond which those that follow read it themselves: the link of a
 small VM would carry it once for each of them."""
 
@@ -44,23 +44,23 @@
     kind: Kind
     since: int
     version: int
-    age_ms: int
+    contact_ms: int
     """How long ago the store last answered."""
-    away_ms: int | None
+    failed_ms: int | None
     """How long ago it last did not, if that was lately."""
     objects: tuple[PushedObject, ...]
 
 
-def may_follow(stale_most: float) -> bool:
+def may_follow(max_staleness_s: float) -> bool:
     """Return whether pushes are soon enough where changes have ``stale_most`` seconds.
 
     One that pushes may die; those that follow notice it after ``PUSHED_LIFE``, and
     have to list then.
     """
-    return stale_most >= PUSHED_LIFE + LIST_TIME
+    return max_staleness_s >= PUSH_TTL_S + LIST_DURATION_S
 
 
-class Pushes:
+class WatchRelay:
     """Pushes what watchers see, and hands them what others push.
 
     Parameters
@@ -75,90 +75,90 @@
         self,
         send: Callable[[Vm, bytes], object],
         clock: Callable[[], float] = time.monotonic,
-        note_era: Callable[[Era], bool] = lambda _era: True,
+        observe_era: Callable[[Era], bool] = lambda _era: True,
     ) -> None:
-        self._note_era = note_era
+        self._observe_era = observe_era
         self._send = send
         self._clock = clock
         self._lock = threading.Lock()
         self._watchers: dict[Kind, Watcher] = {}
-        self._waiting: dict[Kind, list[tuple[Version, Changes]]] = {}
+        self._pending: dict[Kind, list[tuple[Version, Changes]]] = {}
         self._pushed_at: dict[Kind, float] = {}
-        self._told: dict[Kind, Version] = {}
+        self._pushed_versions: dict[Kind, Version] = {}
         """The version up to which those that follow have been told."""
 
-    def serve(self, watchers: Mapping[Kind, Watcher]) -> None:
+    def set_watchers(self, watchers: Mapping[Kind, Watcher]) -> None:
         """Push what these see."""
         self._watchers = dict(watchers)
 
-    def changed(self, kind: Kind, since: Version, changes: Changes) -> None:
+    def add_changes(self, kind: Kind, since: Version, changes: Changes) -> None:
         """Take what a watcher has seen."""
         with self._lock:
-            self._waiting.setdefault(kind, []).append((since, changes))
+            self._pending.setdefault(kind, []).append((since, changes))
 
-    def hear(self, msg: StorePush) -> None:
+    def receive(self, msg: StorePush) -> None:
         """Take a push of another process."""
         watcher = self._watchers.get(msg.kind)
-        if watcher is None or not self._note_era(era_of(Version(msg.version))):
+        if watcher is None or not self._observe_era(era_of(Version(msg.version))):
             return
-        whole = all(obj.deleted or obj.spec is not None for obj in msg.objects)
-        events = [_event(msg.kind, obj) for obj in msg.objects] if whole else []
+        full = all(obj.deleted or obj.spec is not None for obj in msg.objects)
+        events = [_to_event(msg.kind, obj) for obj in msg.objects] if full else []
         changes = Changes(Version(msg.version), tuple(events))
         now = self._clock()
-        away_at = -math.inf if msg.away_ms is None else now - msg.away_ms / 1000
-        contact_at = now - msg.age_ms / 1000
-        watcher.hear(Version(msg.since), changes, contact_at, away_at, whole)
+        failed_at = -math.inf if msg.failed_ms is None else now - msg.failed_ms / 1000
+        contact_at = now - msg.contact_ms / 1000
+        watcher.receive(Version(msg.since), changes, contact_at, failed_at, full)
 
     def flush(self, followers: Iterable[Vm]) -> None:
         """Push what has changed, and from time to time that nothing has."""
-        targets = tuple(followers)
+        vms = tuple(followers)
         now = self._clock()
         for kind, watcher in self._watchers.items():
             with self._lock:
-                waiting = self._waiting.pop(kind, [])
-            due = now - self._pushed_at.get(kind, 0.0) >= PUSH_EVERY
-            if waiting:
-                self._told[kind] = waiting[-1][1].version
-            if not targets or not watcher.ready.is_set() or not (waiting or due):
+                pending = self._pending.pop(kind, [])
+            due = now - self._pushed_at.get(kind, 0.0) >= PUSH_INTERVAL_S
+            if pending:
+                self._pushed_versions[kind] = pending[-1][1].version
+            if not vms or not watcher.ready.is_set() or not (pending or due):
                 continue
             self._pushed_at[kind] = now
-            frame = encode(self._push(kind, watcher, waiting, now))
-            for vm in targets:
+            frame = encode(self._build_push(kind, watcher, pending, now))
+            for vm in vms:
                 self._send(vm, frame)
 
-    def _push(
+    def _build_push(
         self,
         kind: Kind,
         watcher: Watcher,
-        waiting: list[tuple[Version, Changes]],
+        pending: list[tuple[Version, Changes]],
         now: float,
     ) -> StorePush:
-        version = self._told.setdefault(kind, watcher.version)
-        since = waiting[0][0] if waiting else version
-        for earlier, later in zip(waiting, waiting[1:], strict=False):
+        version = self._pushed_versions.setdefault(kind, watcher.version)
+        since = pending[0][0] if pending else version
+        for earlier, later in zip(pending, pending[1:], strict=False):
             if later[0] > earlier[1].version:
                 # What came between was listed and not seen one by one.
                 since = later[0]
-        events = [event for _, changes in waiting for event in changes.events]
-        away = now - watcher.away_at
+        events = [event for _, changes in pending for event in changes.events]
+        failed_s = now - watcher.failed_at
         return StorePush(
             kind,
             since,
             version,
-            age_ms=max(0, int((now - watcher.contact_at) * 1000)),
-            away_ms=int(away * 1000) if away < AWAY_TOLD else None,
-            objects=tuple(map(_pushed, events)),
+            contact_ms=max(0, int((now - watcher.contact_at) * 1000)),
+            failed_ms=int(failed_s * 1000) if failed_s < FAILURE_REPORT_S else None,
+            objects=tuple(map(_to_pushed, events)),
         )
 
 
-def _pushed(event: Event) -> PushedObject:
+def _to_pushed(event: Event) -> PushedObject:
     obj, deleted = event.object, event.type is EventType.DELETED
     spec = b"" if deleted else json.dumps(obj.spec).encode()
-    fits = len(spec) <= MOST_PUSHED
+    fits = len(spec) <= MAX_PUSHED_BYTES
     return PushedObject(obj.name, obj.version, deleted, spec if fits else None)
 
 
-def _event(kind: Kind, obj: PushedObject) -> Event:
+def _to_event(kind: Kind, obj: PushedObject) -> Event:
     spec = json.loads(obj.spec) if obj.spec else {}
     stored = StoredObject(kind, obj.name, Version(obj.version), spec)
     return Event(EventType.DELETED if obj.deleted else EventType.MODIFIED, stored)
--- a/src/persimmonhitch/store/registration.py
+++ b/src/persimmonhitch/store/registration.py
@@ -8,7 +8,7 @@
 from ..observe.logs import log
 from .objects import Kind, ObjectStore, Spec, StoredObject, StoreError
 
-RETRY: Final = 1.0
+RETRY_INTERVAL_S: Final = 1.0
 
 
 class Registration:
@@ -23,7 +23,7 @@
         self._store = store
         self._kind = kind
         self._name = name
-        self._wish: Spec | None = None
+        self._desired: Spec | None = None
         self._changed = threading.Event()
         self._stopping = threading.Event()
         self.written = threading.Event()
@@ -33,17 +33,17 @@
 
     def start(self, spec: Spec) -> None:
         """Write the object and keep it."""
-        self.set(spec)
+        self.update(spec)
         self._thread.start()
 
-    def set(self, spec: Spec) -> None:
+    def update(self, spec: Spec) -> None:
         """Change the object."""
-        self._wish = spec
+        self._desired = spec
         self._changed.set()
 
     def rewrite(self) -> None:
         """Write the object again, if the store may have lost it."""
-        if self._wish is not None:
+        if self._desired is not None:
             self._changed.set()
 
     def remove(self) -> None:
@@ -58,13 +58,13 @@
         while not self._stopping.is_set():
             self._changed.wait()
             self._changed.clear()
-            wish = self._wish
-            if wish is None or self._stopping.is_set():
+            desired = self._desired
+            if desired is None or self._stopping.is_set():
                 continue
-            if self._write(wish):
+            if self._write(desired):
                 self.written.set()
             else:
-                self._stopping.wait(RETRY)
+                self._stopping.wait(RETRY_INTERVAL_S)
                 self._changed.set()
 
     def _write(self, spec: Spec) -> bool:
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -28,23 +28,23 @@
     Version,
 )
 
-WATCH_SECONDS: Final = 30.0
+WATCH_DURATION_S: Final = 30.0
 """Length of one watch; the platform counts each as one call."""
-RETRY_FIRST: Final = 0.2
-RETRY_MOST: Final = 5.0
+MIN_RETRY_S: Final = 0.2
+MAX_RETRY_S: Final = 5.0
 """Seconds between tries while the store is away; doubled from first to most."""
-CONTACT_SLACK: Final = 0.5
+CONTACT_MARGIN_S: Final = 0.5
 """Seconds beyond the length of a watch after which whoever makes it has lost the
 store."""
-REWRITE_TIME: Final = 2.5
+REWRITE_DURATION_S: Final = 2.5
 """Seconds after a copy of the store was listed in which its writers write again what it
 lacks; upstreams take about two."""
-PUSHED_LIFE: Final = 1.6
+PUSH_TTL_S: Final = 1.6
 """Seconds without a push after which this process watches for itself."""
-LOOK_EVERY: Final = 0.2
+POLL_INTERVAL_S: Final = 0.2
 """Seconds between two looks at whether pushes are still fresh."""
 
-Changed = Callable[[Kind, Version, Changes], None]
+ChangeListener = Callable[[Kind, Version, Changes], None]
 """Takes what came after a version."""
 
 
@@ -53,15 +53,15 @@
     """Objects of one kind by name, as last seen, and when."""
 
     objects: dict[str, StoredObject]
-    seen_at: float
+    contact_at: float
     """Monotonic seconds at which the store last answered."""
 
 
-def _ignore() -> None:
+def _ignore_failure() -> None:
     """Take the news that the store is away, for those whom it does not concern."""
 
 
-def _drop(_kind: Kind, _since: Version, _changes: Changes) -> None:
+def _ignore_changes(_kind: Kind, _since: Version, _changes: Changes) -> None:
     """Take changes that nobody else waits for."""
 
 
@@ -77,33 +77,33 @@
         store: ObjectStore,
         kind: Kind,
         listener: Callable[[View], None],
-        wait: float = WATCH_SECONDS,
-        retry_most: float = RETRY_MOST,
-        away: Callable[[], None] = _ignore,
-        pause: float = 0.0,
-        changed: Changed = _drop,
+        duration_s: float = WATCH_DURATION_S,
+        max_retry_s: float = MAX_RETRY_S,
+        on_failure: Callable[[], None] = _ignore_failure,
+        pause_s: float = 0.0,
+        on_change: ChangeListener = _ignore_changes,
     ) -> None:
         self._store = store
         self._kind = kind
-        self._wait = wait
-        self._retry_most = retry_most
-        self._away = away
-        self._pause = pause
+        self._duration_s = duration_s
+        self._max_retry_s = max_retry_s
+        self._on_failure = on_failure
+        self._pause_s = pause_s
         """Seconds after changes before the next watch, so that it brings several."""
         self._listener = listener
-        self._changed = changed
+        self._on_change = on_change
         """Told of all that is seen, for those to whom this process pushes it."""
         self._lock = threading.RLock()
         self.version = Version(0)
         self.contact_at = 0.0
         """When the store last answered, to this process or to the one that pushes."""
-        self.away_at = -math.inf
+        self.failed_at = -math.inf
         """When it last did not."""
         self._pushed_at = -math.inf
-        self._behind = False
-        self._followed = False
+        self._needs_listing = False
+        self._was_following = False
         self._stopping = threading.Event()
-        self._kept: dict[str, StoredObject] = {}
+        self._retained: dict[str, StoredObject] = {}
         """What a copy of the store lacked; it may be written again."""
         self.ready = threading.Event()
         self.view = View({}, 0.0)
@@ -120,71 +120,71 @@
         self._stopping.set()
 
     def _run(self) -> None:
-        pause = RETRY_FIRST
+        pause = MIN_RETRY_S
         while not self._stopping.is_set():
-            if self.followed() and not self._behind:
-                self._stopping.wait(LOOK_EVERY)
+            if self.is_following() and not self._needs_listing:
+                self._stopping.wait(POLL_INTERVAL_S)
                 continue
             started = time.monotonic()
-            self._follow()
-            if self.view.seen_at >= started:
-                pause = RETRY_FIRST
+            self._list_and_watch()
+            if self.view.contact_at >= started:
+                pause = MIN_RETRY_S
             self._stopping.wait(pause)
-            pause = min(pause * 2, self._retry_most)
+            pause = min(pause * 2, self._max_retry_s)
 
-    def _follow(self) -> None:
+    def _list_and_watch(self) -> None:
         result = self._store.list_all(self._kind)
         if not isinstance(result, Success):
-            self._note_away(time.monotonic())
+            self._record_failure(time.monotonic())
             log("store_away", kind=self._kind.value, detail=result.failure().detail)
             return
         listing = result.unwrap()
         after = listing.version
-        self._take_listing(listing)
-        while not self._stopping.is_set() and not self.followed():
-            outcome = self._store.watch(self._kind, after, self._wait)
+        self._apply_listing(listing)
+        while not self._stopping.is_set() and not self.is_following():
+            outcome = self._store.watch(self._kind, after, self._duration_s)
             if not isinstance(outcome, Success):
                 self._log_end(outcome.failure().error, outcome.failure().detail)
                 return
             changes = outcome.unwrap()
-            self._take_changes(after, changes, time.monotonic())
+            self._apply_changes(after, changes, time.monotonic())
             after = changes.version
             if changes.events:
-                self._stopping.wait(self._pause)
+                self._stopping.wait(self._pause_s)
 
     def _log_end(self, error: StoreError, detail: str) -> None:
         if error is StoreError.UNAVAILABLE:
-            self._note_away(time.monotonic())
+            self._record_failure(time.monotonic())
         log("watch_ended", kind=self._kind.value, error=error.value, detail=detail)
 
-    def _note_away(self, at: float) -> None:
-        self.away_at = at
-        self._away()
+    def _record_failure(self, at: float) -> None:
+        self.failed_at = at
+        self._on_failure()
 
-    def restored(self) -> None:
+    def request_listing(self) -> None:
         """Look anew at a store that has come back from a copy."""
         with self._lock:
-            self._behind = True
+            self._needs_listing = True
 
-    def followed(self) -> bool:
+    def is_following(self) -> bool:
         """Return whether another process's pushes are fresh."""
         now = time.monotonic()
-        fresh = (
-            now - self._pushed_at < PUSHED_LIFE
-            and now - self.contact_at < self._wait + CONTACT_SLACK
+        is_fresh = (
+            now - self._pushed_at < PUSH_TTL_S
+            and now - self.contact_at < self._duration_s + CONTACT_MARGIN_S
         )
-        if fresh != self._followed:
-            self._followed = fresh
-            log("store_followed", kind=self._kind.value, followed=fresh)
-        return fresh
+        if is_fresh != self._was_following:
+            self._was_following = is_fresh
+            log("store_followed", kind=self._kind.value, followed=is_fresh)
+        return is_fresh
 
-    def hear(
+    def receive(
         self,
         since: Version,
         changes: Changes,
         contact_at: float,
-        away_at: float,
-        whole: bool,
+        failed_at: float,
+        full: bool,
     ) -> None:
         """Take what another process saw after a version.
 
@@ -192,43 +192,43 @@
         here is then listed, as it is where earlier pushes were missed.
         """
         with self._lock:
-            older = era_of(changes.version) < era_of(self.version)
-            if older or not self.ready.is_set():
+            is_older_era = era_of(changes.version) < era_of(self.version)
+            if is_older_era or not self.ready.is_set():
                 return
             self._pushed_at = time.monotonic()
-            if away_at > self.away_at:
-                self._note_away(away_at)
-            if since > self.version or (not whole and changes.version > self.version):
-                self._behind = True
+            if failed_at > self.failed_at:
+                self._record_failure(failed_at)
+            if since > self.version or (not full and changes.version > self.version):
+                self._needs_listing = True
                 return
-            self._take_changes(since, changes, contact_at)
+            self._apply_changes(since, changes, contact_at)
 
-    def _take_listing(self, listing: Listing) -> None:
+    def _apply_listing(self, listing: Listing) -> None:
         with self._lock:
-            self._behind = False
+            self._needs_listing = False
             self.contact_at = time.monotonic()
             if listing.version < self.version:
                 return
             restored = self.version and era_of(listing.version) > era_of(self.version)
             self.version = listing.version
-            found = {obj.name: obj for obj in listing.items}
+            listed = {obj.name: obj for obj in listing.items}
             if restored:
-                self._keep_missing(found)
-            self._publish({**self._kept, **found})
-            self._changed(self._kind, self.version, Changes(self.version, ()))
+                self._retain_missing(listed)
+            self._publish({**self._retained, **listed})
+            self._on_change(self._kind, self.version, Changes(self.version, ()))
 
-    def _keep_missing(self, found: Mapping[str, StoredObject]) -> None:
+    def _retain_missing(self, listed: Mapping[str, StoredObject]) -> None:
         """Keep for a while what the copy lacks and its writers write again."""
         objects = self.view.objects
-        self._kept = {n: obj for n, obj in objects.items() if n not in found}
+        self._retained = {n: obj for n, obj in objects.items() if n not in listed}
         log(
             "store_copy_listed",
             kind=self._kind.value,
             era=era_of(self.version),
-            listed=len(found),
-            kept=len(self._kept),
+            listed=len(listed),
+            kept=len(self._retained),
         )
-        timer = threading.Timer(REWRITE_TIME, self._drop_missing, (self.version,))
+        timer = threading.Timer(REWRITE_DURATION_S, self._drop_missing, (self.version,))
         timer.daemon = True
         timer.start()
 
@@ -236,33 +236,33 @@
         with self._lock:
             if era_of(self.version) != era_of(version):
                 return
-            kept, self._kept = self._kept, {}
-            gone = {n for n, obj in kept.items() if self.view.objects.get(n) is obj}
-            if not gone:
+            retained, self._retained = self._retained, {}
+            lost = {n for n, obj in retained.items() if self.view.objects.get(n) is obj}
+            if not lost:
                 return
-            log("store_copy_lacked", kind=self._kind.value, given_up=len(gone))
+            log("store_copy_lacked", kind=self._kind.value, given_up=len(lost))
             objects = self.view.objects
-            self._publish({n: obj for n, obj in objects.items() if n not in gone})
+            self._publish({n: obj for n, obj in objects.items() if n not in lost})
 
-    def _take_changes(self, since: Version, changes: Changes, seen_at: float) -> None:
+    def _apply_changes(self, since: Version, changes: Changes, seen_at: float) -> None:
         with self._lock:
             self.contact_at = max(self.contact_at, seen_at)
             if changes.events:
-                self._apply(changes.events)
-            self.view = replace(self.view, seen_at=self.contact_at)
+                self._apply_events(changes.events)
+            self.view = replace(self.view, contact_at=self.contact_at)
             if changes.version > self.version:
-                self._changed(self._kind, since, changes)
+                self._on_change(self._kind, since, changes)
                 self.version = changes.version
 
-    def _apply(self, events: Iterable[Event]) -> None:
+    def _apply_events(self, events: Iterable[Event]) -> None:
         objects = dict(self.view.objects)
         for event in events:
             obj = event.object
-            known = objects.get(obj.name)
-            if known is not None and known.version > obj.version:
+            current = objects.get(obj.name)
+            if current is not None and current.version > obj.version:
                 # Seen before, by another way.
                 continue
-            self._kept.pop(obj.name, None)
+            self._retained.pop(obj.name, None)
             if event.type is EventType.DELETED:
                 objects.pop(obj.name, None)
             else:
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -27,7 +27,7 @@
     Target,
 )
 from persimmonhitch.fleet.routes import RouteTable
-from persimmonhitch.fleet.upstream import ORDERS_UNKNOWN, Holding, UpstreamRecord
+from persimmonhitch.fleet.upstream import NOT_COUNTED, EngineInventory, UpstreamRecord
 from persimmonhitch.ids import (
     Account,
     ConfigVersion,
@@ -89,7 +89,7 @@
         self._listener = socket.create_server(("127.0.0.1", 0))
         port = self._listener.getsockname()[1]
         models = {MODEL: frozenset()} if service == LLM else None
-        loaded = Holding(ORDERS_UNKNOWN, models) if models is not None else None
+        loaded = EngineInventory(NOT_COUNTED, models) if models is not None else None
         self.record = UpstreamRecord(
             Upstream(name), service, "127.0.0.1", port, Zone("z1"), 8, False, 1, loaded
         )
@@ -164,8 +164,8 @@
 def route(name, kind, service, **overrides):
     values = {
         "timeout": 5.0,
-        "aim": 1.0,
-        "gap_aim": 0.3,
+        "latency_target": 1.0,
+        "token_gap_target": 0.3,
         "rank": 1,
         "max_attempts": 2,
         "public": False,
--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -6,7 +6,7 @@
 from persimmonhitch.direct.engine_client import OrderOutcome
 from persimmonhitch.direct.engine_controller import EngineController, EngineState
 from persimmonhitch.fleet.config import EngineSpec, ModelSpec
-from persimmonhitch.fleet.upstream import Holding, UpstreamRecord
+from persimmonhitch.fleet.upstream import EngineInventory, UpstreamRecord
 from persimmonhitch.ids import Adapter, Epoch, Model, Service, Upstream, Zone
 
 SPECS = {
@@ -113,8 +113,8 @@
             else:
                 self.models.pop(order.model, None)
             return OrderOutcome.ACCEPTED
-        memory = sum(SPECS[name].memory for name in self.models)
-        if memory + SPECS[order.model].memory > SPEC.memory:
+        memory = sum(SPECS[name].memory_mb for name in self.models)
+        if memory + SPECS[order.model].memory_mb > SPEC.memory_mb:
             self.overfull.append(order)
         self.loading, self.busy_until = order.model, self.clock() + self.load_time
         return OrderOutcome.ACCEPTED
@@ -132,7 +132,9 @@
         models = {name: frozenset(names) for name, names in self.models.items()}
         busy = self.loading is not None or bool(self.leaving)
         return Success(
-            Holding(self.orders, models, on_disk=frozenset(self.on_disk), busy=busy)
+            EngineInventory(
+                self.orders, models, on_disk=frozenset(self.on_disk), busy=busy
+            )
         )
 
 
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -15,7 +15,7 @@
 from persimmonhitch.direct.dispatcher import Dispatcher
 from persimmonhitch.direct.poison import PoisonGuard
 from persimmonhitch.direct.upstream_table import UpstreamTable
-from persimmonhitch.fleet.upstream import ORDERS_UNKNOWN, Holding, UpstreamRecord
+from persimmonhitch.fleet.upstream import NOT_COUNTED, EngineInventory, UpstreamRecord
 from persimmonhitch.ids import Model, Service, Upstream, Vm, Zone
 from persimmonhitch.verdict import ErrorCode, Failure
 
@@ -24,7 +24,7 @@
 
 
 def record(name="e1", models=(BIG,), slots=2, draining=False, born=1):
-    inventory = Holding(ORDERS_UNKNOWN, {model: frozenset() for model in models})
+    inventory = EngineInventory(NOT_COUNTED, {model: frozenset() for model in models})
     return UpstreamRecord(
         Upstream(name), LLM, "10.0.0.1", 80, Z1, slots, draining, born, inventory
     )
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -17,7 +17,7 @@
     UpstreamWork,
 )
 from persimmonhitch.fleet.config import FleetConfig, ServiceSpec
-from persimmonhitch.fleet.upstream import ORDERS_UNKNOWN, Holding, UpstreamRecord
+from persimmonhitch.fleet.upstream import NOT_COUNTED, EngineInventory, UpstreamRecord
 from persimmonhitch.ids import (
     Adapter,
     ConfigVersion,
@@ -64,7 +64,7 @@
 
 
 def record(name="e1"):
-    inventory = Holding(ORDERS_UNKNOWN, {BIG: frozenset()})
+    inventory = EngineInventory(NOT_COUNTED, {BIG: frozenset()})
     return UpstreamRecord(
         Upstream(name), LLM, "10.0.0.1", 80, Zone("z1"), 64, False, 1, inventory
     )
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -19,5 +19,5 @@
         (("/a", COOP, b"x/b"), False),
     ],
 )
-def test_a_call_is_known_by_path_account_and_body(other, same):
+def test_fingerprint_covers_path_account_and_body(other, same):
     assert (fingerprint("/a/b", COOP, b"x") == fingerprint(*other)) is same
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -7,7 +7,7 @@
 
 from persimmonhitch.decide.dispatch import UpstreamView
 from persimmonhitch.direct.upstream_limits import UpstreamLimits
-from persimmonhitch.fleet.call import RequestLimit
+from persimmonhitch.fleet.call import RateLimit
 from persimmonhitch.fleet.upstream import UpstreamRecord
 from persimmonhitch.ids import Service, Upstream, Vm, Zone
 
@@ -108,7 +108,7 @@
         while self._answers and self._answers[0][0] <= self.now:
             _, vm, sent_at = self._answers.popleft()
             reported = self.reported(self.now)
-            limit = None if reported is None else RequestLimit(reported)
+            limit = None if reported is None else RateLimit(reported)
             self.limits[vm].answered(UP, limit, sent_at)
             if reported is not None:
                 self.limited_since.setdefault(vm, self.now)
@@ -220,8 +220,8 @@
     limits = fleet.limits
     for vm in limits:
         if previous is not None:
-            limits[vm].answered(UP, RequestLimit(previous), 0.0)
-        limits[vm].answered(UP, RequestLimit(None), 0.0)
+            limits[vm].answered(UP, RateLimit(previous), 0.0)
+        limits[vm].answered(UP, RateLimit(None), 0.0)
     fleet._answer = lambda: None
     fleet.limited_since = dict.fromkeys(fleet.vms, -SETTLE_S)
     fleet.run(DURATION_S, no_fault)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -3,7 +3,7 @@
 import pytest
 from returns.result import Success
 
-from persimmonhitch.fleet.call import RequestLimit
+from persimmonhitch.fleet.call import RateLimit
 from persimmonhitch.fleet.config import CallKind
 from persimmonhitch.fleet.routes import RouteTable
 from persimmonhitch.ids import Account, Adapter, Model, Service, Upstream
@@ -11,13 +11,13 @@
 from persimmonhitch.platform.config_format import decode_config
 from persimmonhitch.platform.objects_format import decode_changes, decode_object
 from persimmonhitch.platform.upstream_format import (
-    UnreadableEntry,
+    InvalidUpstreamRecord,
     decode_report,
     decode_upstream,
 )
 from persimmonhitch.store.objects import EventType, Kind
 
-ENTRY = {
+RECORD = {
     "service": "llm",
     "address": "10.1.0.9:8080",
     "zone": "z1",
@@ -74,17 +74,17 @@
 }
 
 
-def test_a_configuration():
+def test_decodes_configuration():
     cfg = decode_config(CONFIG).unwrap()
-    first, second = cfg.routes
-    assert (first.kind, first.timeout, first.aim) == (CallKind.STREAM, 5.0, 0.6)
-    assert second.kind is CallKind.NON_IDEMPOTENT
-    assert cfg.services[Service("llm")].engine.models[Model("m1")].load_disk == 8.6
+    r1, r2 = cfg.routes
+    assert (r1.kind, r1.timeout, r1.latency_target) == (CallKind.STREAM, 5.0, 0.6)
+    assert r2.kind is CallKind.NON_IDEMPOTENT
+    assert cfg.services[Service("llm")].engine.models[Model("m1")].disk_load_s == 8.6
     assert cfg.keys == {"k1": Account("coop"), "k2": Account("coop")}
 
 
 @pytest.mark.parametrize("broken", [{}, {"version": "x"}, {**CONFIG, "routes": [{}]}])
-def test_a_configuration_that_cannot_be_read(broken):
+def test_rejects_unreadable_configuration(broken):
     assert not isinstance(decode_config(broken), Success)
 
 
@@ -99,20 +99,20 @@
         ("b.example", "/chat/x", None),
     ],
 )
-def test_the_longest_prefix_of_the_host(host, path, route):
+def test_finds_route_by_longest_prefix_of_host(host, path, route):
     found = RouteTable(decode_config(CONFIG).unwrap().routes).find(host, path)
     assert (found.name if found else None) == route
 
 
-def test_an_entry():
+def test_decodes_upstream_record():
     """Its count is one of heartbeats; taken for that of orders, each order to a fresh
     engine would be refused.
     """
-    record = decode_upstream("i-1", ENTRY)
-    assert (record.host, record.port, record.born) == ("10.1.0.9", 8080, 17)
-    assert record.holding.orders < 0
-    assert record.holding.has(Model("m1"), Adapter("a2"))
-    assert record.holding.on_disk == {"m1", "m2"}
+    record = decode_upstream("i-1", RECORD)
+    assert (record.host, record.port, record.started_at_ms) == ("10.1.0.9", 8080, 17)
+    assert record.inventory.order_count < 0
+    assert record.inventory.has(Model("m1"), Adapter("a2"))
+    assert record.inventory.on_disk == {"m1", "m2"}
 
 
 @pytest.mark.parametrize(
@@ -132,21 +132,21 @@
         {"born": "soon"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_upstream(change):
+def test_rejects_malformed_upstream_record(change):
     """Something else writes an entry that is half right. Used all the same, callers
     would be sent to an address where nobody answers, or the process would fail on it
     and lose sight of all other upstreams.
     """
-    with pytest.raises(UnreadableEntry):
-        decode_upstream("i-1", {**ENTRY, **change})
+    with pytest.raises(InvalidUpstreamRecord):
+        decode_upstream("i-1", {**RECORD, **change})
 
 
-def test_an_object_whose_content_is_no_map_does_not_hide_others():
+def test_object_with_non_mapping_content_is_decoded_as_empty():
     body = {"metadata": {"name": "x", "revision": 4}, "specification": "\x00\x01"}
     assert decode_object(Kind.UPSTREAM, body).spec == {}
 
 
-def test_changes_go_on_from_the_store_s_version():
+def test_changes_continue_from_version_of_store():
     """A deleted object bears the version of its last change. Watching on from that one
     would bring the same deletion at once, again and again.
     """
@@ -157,18 +157,18 @@
     assert [event.type for event in changes.events] == [EventType.DELETED]
 
 
-def test_a_report():
+def test_decodes_engine_report():
     body = {
         "models": [{"name": "m1", "adapters": [{"name": "a1"}]}],
         "incoming": ["m1/a2@1"],
         "sequence": 3,
         "busy": True,
     }
-    held = decode_report(body)
-    assert (held.orders, held.busy, held.places_taken()) == (3, True, 2)
+    state = decode_report(body)
+    assert (state.order_count, state.busy, state.adapter_slots_used()) == (3, True, 2)
 
 
-CALL = {
+HEADERS = {
     "x-persimmonhitch-request-id": "q1",
     "x-persimmonhitch-model": "m1/a3",
     "x-persimmonhitch-token-counts": "1460,80",
@@ -178,23 +178,23 @@
 }
 
 
-def test_a_call():
-    call = headers.read_caller(CALL)
-    assert (call.model, call.adapter, call.patience) == ("m1", "a3", 4.0)
-    assert (call.prompt_tokens, call.output_tokens, call.key) == (1460, 80, "k1")
-    assert [part.tokens for part in call.parts] == [800, 410]
+def test_reads_caller_headers():
+    req = headers.read_caller(HEADERS)
+    assert (req.model, req.adapter, req.timeout_s) == ("m1", "a3", 4.0)
+    assert (req.prompt_tokens, req.output_tokens, req.api_key) == (1460, 80, "k1")
+    assert [part.tokens for part in req.prompt_parts] == [800, 410]
 
 
 @pytest.mark.parametrize("text", ["", "x", "1460", "1460,", "-1,5", "1,2,3"])
-def test_a_count_that_cannot_be_read_is_none(text):
-    call = headers.read_caller({**CALL, "x-persimmonhitch-token-counts": text})
-    assert not call.counted
+def test_unreadable_token_counts_are_ignored(text):
+    req = headers.read_caller({**HEADERS, "x-persimmonhitch-token-counts": text})
+    assert not req.has_token_counts
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-5", "soon", "1e99"])
-def test_a_deadline_that_is_no_time_is_none(text):
-    call = headers.read_caller({**CALL, "x-persimmonhitch-request-deadline": text})
-    assert call.patience is None
+def test_unreadable_deadline_is_ignored(text):
+    req = headers.read_caller({**HEADERS, "x-persimmonhitch-request-deadline": text})
+    assert req.timeout_s is None
 
 
 @pytest.mark.parametrize(
@@ -214,12 +214,12 @@
         "x-hop",
     ],
 )
-def test_what_only_the_system_may_say_is_not_the_caller_s(name):
+def test_reserved_and_hop_headers_of_caller_are_dropped(name):
     """A caller names itself another account, or asks for memory that is not its own."""
-    asked = {**CALL, name: "mine"}
+    received = {**HEADERS, name: "mine"}
     if name == "x-hop":
-        asked["connection"] = "close, X-Hop"
-    sent = headers.upstream_headers(asked, Upstream("i-1"), None, None, 1.5, None)
+        received["connection"] = "close, X-Hop"
+    sent = headers.upstream_headers(received, Upstream("i-1"), None, None, 1.5, None)
     assert name not in sent
     assert sent["x-persimmonhitch-expected-instance"] == "i-1"
     assert sent["x-persimmonhitch-request-deadline"] == "1500"
@@ -236,7 +236,7 @@
         (500, {}, False),
     ],
 )
-def test_only_an_engine_s_own_word_means_not_run(status, fields, not_run):
+def test_only_header_or_misdirected_status_means_not_run(status, fields, not_run):
     assert headers.read_reply(status, fields).not_run is not_run
 
 
@@ -244,14 +244,14 @@
     ("fields", "limit"),
     [
         ({}, None),
-        ({"server-limit": "2.5"}, RequestLimit(2.5)),
-        ({"x-persimmonhitch-server-limit": " 3 "}, RequestLimit(3.0)),
-        ({"server-limit": "0"}, RequestLimit(0.0)),
-        ({"server-limit": "-1"}, RequestLimit(None)),
-        ({"server-limit": "nan"}, RequestLimit(None)),
-        ({"server-limit": "few"}, RequestLimit(None)),
-        ({"server-limit": ""}, RequestLimit(None)),
+        ({"server-limit": "2.5"}, RateLimit(2.5)),
+        ({"x-persimmonhitch-server-limit": " 3 "}, RateLimit(3.0)),
+        ({"server-limit": "0"}, RateLimit(0.0)),
+        ({"server-limit": "-1"}, RateLimit(None)),
+        ({"server-limit": "nan"}, RateLimit(None)),
+        ({"server-limit": "few"}, RateLimit(None)),
+        ({"server-limit": ""}, RateLimit(None)),
     ],
 )
-def test_the_limit_of_an_upstream(fields, limit):
+def test_reads_rate_limit_of_upstream(fields, limit):
     assert headers.read_limit(fields) == limit
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     "records",
     [
-        [replace(record(n), born=2) for n in range(BLOCK_CRASHES)],
+        [replace(record(n), started_at_ms=2) for n in range(BLOCK_CRASHES)],
         [replace(record(n), name=Upstream(f"new{n}")) for n in range(BLOCK_CRASHES)],
     ],
 )
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -11,7 +11,7 @@
 from persimmonhitch.direct.leader import Leader
 from persimmonhitch.direct.peer_messages import EntryUpdate
 from persimmonhitch.fleet.config import EngineSpec, FleetConfig, ModelSpec, ServiceSpec
-from persimmonhitch.fleet.upstream import Holding, UpstreamRecord
+from persimmonhitch.fleet.upstream import EngineInventory, UpstreamRecord
 from persimmonhitch.ids import ConfigVersion, Epoch, Model, Service, Upstream, Vm, Zone
 
 LLM = Service("llm")
@@ -104,7 +104,7 @@
         self.leader._client = self
         self.leader.configure(cfg)
         self.inventories = {
-            Upstream(f"e{n}"): Holding(
+            Upstream(f"e{n}"): EngineInventory(
                 0, dict.fromkeys(self.resident.get(n, ()), frozenset())
             )
             for n in range(self.engines)
--- a/tests/test_store_pushes.py
+++ b/tests/test_store_pushes.py
@@ -18,19 +18,19 @@
     StoreFailure,
     Version,
 )
-from persimmonhitch.store.pushes import MOST_PUSHED, Pushes
+from persimmonhitch.store.pushes import MAX_PUSHED_BYTES, WatchRelay
 from persimmonhitch.store.watcher import Watcher
 from persimmonhitch.wire.codec import decode
 
-WAIT = 0.3
+WATCH_DURATION_S = 0.3
 
 
 class Store:
     """Objects of one kind, with watches; counts the calls of each caller."""
 
     def __init__(self):
-        self.objects, self.log = {}, []
-        self.version, self.down = 1, set()
+        self.objects, self.events = {}, []
+        self.version, self.unreachable_from = 1, set()
         self._changed = threading.Condition()
 
     def put(self, name, spec):
@@ -38,7 +38,7 @@
             self.version += 1
             obj = StoredObject(Kind.UPSTREAM, name, Version(self.version), spec)
             self.objects[name] = obj
-            self.log.append(Event(EventType.MODIFIED, obj))
+            self.events.append(Event(EventType.MODIFIED, obj))
             self._changed.notify_all()
 
     def delete(self, name):
@@ -46,7 +46,7 @@
             self.version += 1
             old = self.objects.pop(name)
             obj = StoredObject(old.kind, name, Version(self.version), old.spec)
-            self.log.append(Event(EventType.DELETED, obj))
+            self.events.append(Event(EventType.DELETED, obj))
             self._changed.notify_all()
 
     def client(self, name):
@@ -57,13 +57,13 @@
     def __init__(self, store, name):
         self.store, self.name, self.calls = store, name, 0
 
-    def _gone(self):
+    def _unavailable(self):
         return Err(StoreFailure(StoreError.UNAVAILABLE, "down"))
 
     def list_all(self, _kind) -> Result:
         self.calls += 1
-        if self.name in self.store.down:
-            return self._gone()
+        if self.name in self.store.unreachable_from:
+            return self._unavailable()
         with self.store._changed:
             items = tuple(self.store.objects.values())
             return Success(Listing(Version(self.store.version), items))
@@ -73,38 +73,38 @@
         store = self.store
         with store._changed:
             store._changed.wait_for(lambda: store.version > after, wait)
-            if self.name in store.down:
-                return self._gone()
-            events = tuple(e for e in store.log if e.object.version > after)
+            if self.name in store.unreachable_from:
+                return self._unavailable()
+            events = tuple(e for e in store.events if e.object.version > after)
             return Success(Changes(Version(store.version), events))
 
 
 class Entry:
     """A watcher that pushes to followers."""
 
-    def __init__(self, store, name, net):
+    def __init__(self, store, name, deliver):
         self.client = store.client(name)
-        self.away = 0
-        self.pushes = Pushes(lambda to, frame: net(to, frame))
+        self.failures = 0
+        self.relay = WatchRelay(lambda to, frame: deliver(to, frame))
         self.watcher = Watcher(
             self.client,
             Kind.UPSTREAM,
             lambda _view: None,
-            WAIT,
+            WATCH_DURATION_S,
             0.2,
-            self._gone,
-            changed=self.pushes.changed,
+            self._count_failure,
+            on_change=self.relay.add_changes,
         )
-        self.pushes.serve({Kind.UPSTREAM: self.watcher})
+        self.relay.set_watchers({Kind.UPSTREAM: self.watcher})
 
-    def _gone(self):
-        self.away += 1
+    def _count_failure(self):
+        self.failures += 1
 
     def names(self):
         return set(self.watcher.view.objects)
 
 
-class World:
+class Pair:
     """One entry that watches and one that follows it."""
 
     def __init__(self):
@@ -120,7 +120,7 @@
         self.parent.watcher.start()
         self.child.watcher.start()
         self._thread.start()
-        wait_for(self.child.watcher.followed, "the child to follow")
+        wait_for(self.child.watcher.is_following, "the child to follow")
 
     def stop(self):
         self._stopped.set()
@@ -129,89 +129,89 @@
 
     def _deliver(self, _to, frame):
         if self.linked:
-            self.child.pushes.hear(decode(frame).unwrap())
+            self.child.relay.receive(decode(frame).unwrap())
 
     def _flush(self):
         while not self._stopped.wait(0.02):
-            self.parent.pushes.flush(["child"])
+            self.parent.relay.flush(["child"])
 
-    def settle(self):
+    def wait_until_idle(self):
         """Wait until the child has made no call for longer than a watch."""
         calls = -1
         while calls != self.child.client.calls:
             calls = self.child.client.calls
-            self._stopped.wait(WAIT * 2)
+            self._stopped.wait(WATCH_DURATION_S * 2)
 
 
 @pytest.fixture
-def world():
-    made = World()
+def pair():
+    made = Pair()
     made.start()
     yield made
     made.stop()
 
 
-def test_a_follower_sees_all_changes_and_makes_no_calls(world):
+def test_follower_sees_all_changes_without_calls(pair):
     """Dozens of entries that watch for themselves make most calls to the store."""
-    world.settle()
-    calls = world.child.client.calls
+    pair.wait_until_idle()
+    calls = pair.child.client.calls
     for number in range(5):
-        world.store.put(f"e{number}", {"n": number})
-    world.store.delete("e3")
-    wait_for(lambda: world.child.names() == {"e0", "e1", "e2", "e4"}, "the changes")
-    assert world.child.client.calls == calls
+        pair.store.put(f"e{number}", {"n": number})
+    pair.store.delete("e3")
+    wait_for(lambda: pair.child.names() == {"e0", "e1", "e2", "e4"}, "the changes")
+    assert pair.child.client.calls == calls
 
 
-def test_a_follower_watches_itself_once_pushes_stop(world):
+def test_follower_watches_when_pushes_stop(pair):
     """Guards against engines that leave unseen behind a parent that is cut off."""
-    world.settle()
-    world.linked = False
-    world.store.put("e9", {})
-    wait_for(lambda: "e9" in world.child.names(), "the change", 3.0)
+    pair.wait_until_idle()
+    pair.linked = False
+    pair.store.put("e9", {})
+    wait_for(lambda: "e9" in pair.child.names(), "the change", 3.0)
 
 
-def test_a_follower_watches_itself_once_its_parent_loses_the_store(world):
-    world.settle()
-    world.store.down.add("parent")
-    world.store.put("e9", {})
-    wait_for(lambda: "e9" in world.child.names(), "the change", 3.0)
+def test_follower_watches_when_parent_loses_store(pair):
+    pair.wait_until_idle()
+    pair.store.unreachable_from.add("parent")
+    pair.store.put("e9", {})
+    wait_for(lambda: "e9" in pair.child.names(), "the change", 3.0)
 
 
-def test_missed_pushes_are_made_up_for_by_a_list(world):
-    world.settle()
-    world.linked = False
-    world.store.put("e7", {})
-    wait_for(lambda: "e7" in world.parent.names(), "the parent to see it")
-    world.linked = True
-    wait_for(lambda: "e7" in world.child.names(), "the change")
+def test_follower_lists_after_missed_pushes(pair):
+    pair.wait_until_idle()
+    pair.linked = False
+    pair.store.put("e7", {})
+    wait_for(lambda: "e7" in pair.parent.names(), "the parent to see it")
+    pair.linked = True
+    wait_for(lambda: "e7" in pair.child.names(), "the change")
 
 
-def test_a_large_object_is_read_and_not_pushed(world):
+def test_large_object_is_listed_and_not_pushed(pair):
     """Pushed, a configuration would go over a small VM's link once a follower."""
-    world.settle()
-    world.store.put("big", {"text": "x" * MOST_PUSHED})
-    wait_for(lambda: "big" in world.child.names(), "the object")
-    assert world.child.watcher.view.objects["big"].spec["text"]
+    pair.wait_until_idle()
+    pair.store.put("big", {"text": "x" * MAX_PUSHED_BYTES})
+    wait_for(lambda: "big" in pair.child.names(), "the object")
+    assert pair.child.watcher.view.objects["big"].spec["text"]
 
 
-def test_a_follower_knows_that_the_store_was_away(world):
+def test_follower_learns_of_store_failure_of_parent(pair):
     """Entries that lapse in an outage would be taken for upstreams that are gone."""
-    world.settle()
-    before = world.child.away
-    world.store.down.add("parent")
-    world.store.put("e8", {})
-    wait_for(lambda: world.parent.away, "the parent to lose the store")
-    world.store.down.clear()
-    wait_for(lambda: world.child.away > before, "the child to hear of it")
+    pair.wait_until_idle()
+    before = pair.child.failures
+    pair.store.unreachable_from.add("parent")
+    pair.store.put("e8", {})
+    wait_for(lambda: pair.parent.failures, "the parent to lose the store")
+    pair.store.unreachable_from.clear()
+    wait_for(lambda: pair.child.failures > before, "the child to hear of it")
 
 
-def test_old_pushes_do_not_bring_old_objects_back(world):
+def test_late_push_does_not_restore_old_object(pair):
     """A push that was held up comes after what the entry has seen itself."""
-    world.settle()
-    old = world.child.watcher.view.objects["e0"]
-    world.store.put("e0", {"n": 1})
-    wait_for(lambda: world.child.watcher.view.objects["e0"].spec == {"n": 1}, "it")
+    pair.wait_until_idle()
+    old = pair.child.watcher.view.objects["e0"]
+    pair.store.put("e0", {"n": 1})
+    wait_for(lambda: pair.child.watcher.view.objects["e0"].spec == {"n": 1}, "it")
     changes = Changes(old.version, (Event(EventType.MODIFIED, old),))
-    now = world.child.watcher.contact_at
-    world.child.watcher.hear(Version(0), changes, now, -1.0, True)
-    assert world.child.watcher.view.objects["e0"].spec == {"n": 1}
+    now = pair.child.watcher.contact_at
+    pair.child.watcher.receive(Version(0), changes, now, -1.0, True)
+    assert pair.child.watcher.view.objects["e0"].spec == {"n": 1}
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -14,7 +14,7 @@
 from persimmonhitch.standin.store_server import StoreApp
 from persimmonhitch.standin.store_state import StoreState
 from persimmonhitch.store import watcher as watcher_module
-from persimmonhitch.store.era import Era, Eras, era_of, revision_of, version_of
+from persimmonhitch.store.era import Era, EraState, era_of, revision_of, version_of
 from persimmonhitch.store.objects import (
     Changes,
     Kind,
@@ -48,7 +48,7 @@
         self.eras = []
 
     def client(self):
-        self.eras.append(Eras())
+        self.eras.append(EraState())
         url = f"http://127.0.0.1:{self.server.port}"
         return StoreClient(url, 2.0, self.eras[-1])
 
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(("era", "revision"), [(0, 5), (1, 5), (7, 2**40)])
-def test_a_version_holds_era_and_revision(era, revision):
+def test_version_contains_era_and_revision(era, revision):
     version = version_of(Era(era), revision)
     assert (era_of(version), revision_of(version)) == (era, revision)
     assert version < version_of(Era(era + 1), 0)
@@ -75,21 +75,21 @@
     ("fields", "era"),
     [({"store-era": "4"}, 4), ({}, None), ({"store-era": "x"}, None)],
 )
-def test_the_era_of_an_answer(fields, era):
+def test_reads_era_of_response(fields, era):
     assert headers.read_era(fields) == era
 
 
-def test_an_answer_of_an_older_era_counts_for_nothing():
+def test_response_of_older_era_is_rejected():
     """Guards against a slow answer from before that is taken for news."""
-    heard = []
-    eras = Eras()
-    eras.on_change(heard.append)
-    assert eras.note(Era(3)) and eras.note(None) and eras.note(Era(4))
-    assert not eras.note(Era(3))
-    assert (eras.current, heard) == (4, [4])
+    received = []
+    eras = EraState()
+    eras.on_change(received.append)
+    assert eras.observe(Era(3)) and eras.observe(None) and eras.observe(Era(4))
+    assert not eras.observe(Era(3))
+    assert (eras.current, received) == (4, [4])
 
 
-def test_a_watch_does_not_go_on_from_a_version_that_was_given_out_again(world):
+def test_watch_from_version_of_older_era_expires(world):
     """Guards against a view that lacks what was changed under the same numbers."""
     put(world, "old")
     copy = world.state.copy()
@@ -106,7 +106,7 @@
     assert {obj.name for obj in after.items} == {"old", "new1", "new2"}
 
 
-def test_a_conditional_write_does_not_pass_for_another_content(world):
+def test_conditional_write_on_reused_revision_conflicts(world):
     """Guards against a write on a revision that exists again in a newer era."""
     copy = world.state.copy()
     put(world, "x", owner="a")
@@ -120,14 +120,14 @@
     assert client.get(Kind.ENTRY, "x").unwrap().spec == {"owner": "b"}
 
 
-def test_what_a_copy_lacks_is_kept_until_it_is_written_again(world, monkeypatch):
+def test_objects_missing_in_copy_are_retained_for_rewrite(world, monkeypatch):
     """Guards against upstreams that live and are dropped all at once."""
-    monkeypatch.setattr(watcher_module, "REWRITE_TIME", 1.0)
+    monkeypatch.setattr(watcher_module, "REWRITE_DURATION_S", 1.0)
     put(world, "kept")
     copy = world.state.copy()
     put(world, "back"), put(world, "gone")
     views = []
-    watch = Watcher(world.client(), Kind.ENTRY, views.append, wait=0.2)
+    watch = Watcher(world.client(), Kind.ENTRY, views.append, duration_s=0.2)
     watch.start()
 
     def names():
@@ -142,11 +142,11 @@
     watch.stop()
 
 
-def test_a_push_of_an_older_era_brings_nothing_back(world):
+def test_push_of_older_era_restores_no_object(world):
     """Guards against a follower that takes lost objects from a parent behind it."""
     put(world, "x")
     views = []
-    watch = Watcher(world.client(), Kind.ENTRY, views.append, wait=0.2)
+    watch = Watcher(world.client(), Kind.ENTRY, views.append, duration_s=0.2)
     watch.start()
     wait_for(lambda: views, "the first view")
     world.state.restore(world.state.copy())
@@ -154,31 +154,31 @@
     late = version_of(Era(0), 999)
     obj = StoredObject(Kind.ENTRY, "lost", late, {})
     event = watcher_module.Event(watcher_module.EventType.MODIFIED, obj)
-    watch.hear(Version(0), Changes(late, (event,)), time.monotonic(), 0.0, True)
+    watch.receive(Version(0), Changes(late, (event,)), time.monotonic(), 0.0, True)
     watch.stop()
     assert set(views[-1].objects) == {"x"}
 
 
-def test_what_was_leaving_stays_leaving_though_a_copy_shows_it_ready():
+def test_draining_upstream_stays_draining_after_restore():
     """Guards against calls to an upstream that has said that it leaves."""
 
-    def view(era, revision, state, born):
+    def view(era, revision, state, started_at_ms):
         spec = {"service": "s", "address": "h:1", "zone": "z1", "slots": 1}
-        spec |= {"state": state, "born": born}
+        spec |= {"state": state, "born": started_at_ms}
         obj = StoredObject(Kind.UPSTREAM, "u1", version_of(Era(era), revision), spec)
         return View({"u1": obj}, 0.0)
 
-    told = []
-    upstreams = UpstreamList(told.append)
+    received = []
+    upstreams = UpstreamList(received.append)
     upstreams.update(view(1, 5, "ready", 1))
     upstreams.update(view(1, 6, "draining", 1))
     upstreams.update(view(2, 5, "ready", 1))
-    assert told[-1][0].draining
+    assert received[-1][0].draining
     upstreams.update(view(3, 6, "ready", 2))
-    assert not told[-1][0].draining
+    assert not received[-1][0].draining
 
 
-def test_an_entry_writes_itself_again(world):
+def test_entry_rewrites_its_record_after_restore(world):
     """Guards against an entry that the others forget since the store lost it."""
     client = world.client()
     registration = Registration(client, Kind.ENTRY, "e1")
@@ -193,23 +193,23 @@
     )
 
 
-class Keepers:
+class LeaseKeepers:
     """Two processes that seek the lease of orders."""
 
     def __init__(self, world):
         self.clock = Clock()
         self.state = world.state
-        self.a, self.b = (self._keeper(world, vm) for vm in (A, B))
+        self.a, self.b = (self.make_keeper(world, vm) for vm in (A, B))
 
-    def _keeper(self, world, vm):
-        life = Incarnation(f"i-{vm}")
+    def make_keeper(self, world, vm):
+        run_id = Incarnation(f"i-{vm}")
         client, eras = world.client(), world.eras[-1]
         era = lambda: eras.current  # noqa: E731
-        made = LeaseKeeper(client, "orders", vm, life, DURATION, self.clock, era)
-        eras.on_change(lambda _era: made.store_restored())
-        return made
+        keeper = LeaseKeeper(client, "orders", vm, run_id, DURATION, self.clock, era)
+        eras.on_change(lambda _era: keeper.store_restored())
+        return keeper
 
-    def b_then_a(self):
+    def pass_lease_from_b_to_a(self):
         """Let B hold the lease, then A; return a copy in which B has it."""
         self.b.step()
         copy = self.state.copy()
@@ -219,10 +219,10 @@
         return copy
 
 
-def test_a_holder_stops_and_takes_the_lease_above_its_last_epoch(world):
+def test_leader_takes_lease_again_above_its_last_epoch(world):
     """Guards against orders under a number that engines have seen from another."""
-    keepers = Keepers(world)
-    copy = keepers.b_then_a()
+    keepers = LeaseKeepers(world)
+    copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.a.store_restored()
     assert keepers.a.epoch() is None
@@ -230,10 +230,10 @@
     assert keepers.a.epoch() > 2
 
 
-def test_a_holder_of_before_that_a_copy_names_waits(world):
+def test_previous_leader_named_by_copy_waits(world):
     """Guards against orders of two holders, one of them by a copy of the store."""
-    keepers = Keepers(world)
-    copy = keepers.b_then_a()
+    keepers = LeaseKeepers(world)
+    copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.b.step()
     assert keepers.b.epoch() is None
@@ -249,9 +249,9 @@
     assert keepers.b.epoch() is None
 
 
-def test_a_lease_that_a_copy_lacks_is_the_last_holder_s(world):
+def test_lease_missing_in_copy_belongs_to_last_leader(world):
     """Guards against a new holder beside one that has not heard of the restore."""
-    keepers = Keepers(world)
+    keepers = LeaseKeepers(world)
     empty = keepers.state.copy()
     keepers.a.step()
     keepers.state.restore(empty)
@@ -263,10 +263,10 @@
     assert keepers.a.epoch() > 1
 
 
-def test_another_takes_the_lease_once_its_holder_can_not_act_any_more(world):
+def test_lease_is_taken_after_old_leader_expired(world):
     """Guards against a fleet without orders after its holder died in an outage."""
-    keepers = Keepers(world)
-    copy = keepers.b_then_a()
+    keepers = LeaseKeepers(world)
+    copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.b.step()
     keepers.clock.now += DURATION + 0.1
@@ -275,10 +275,10 @@
     assert keepers.a.epoch() is None
 
 
-def test_a_holder_that_took_its_lease_anew_has_no_other_right_to_it(world):
+def test_leader_that_released_its_new_lease_does_not_retake_it(world):
     """Guards against a holder that resigns and takes the lease back from the next."""
-    keepers = Keepers(world)
-    copy = keepers.b_then_a()
+    keepers = LeaseKeepers(world)
+    copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.a.store_restored()
     keepers.a.step()
@@ -291,25 +291,25 @@
     assert keepers.a.epoch() is None
 
 
-def test_a_new_process_takes_the_lease_above_epochs_that_the_copy_lost(world):
+def test_new_process_takes_lease_above_epochs_lost_in_copy(world):
     """Guards against orders under a number that engines have seen from another."""
-    keepers = Keepers(world)
+    keepers = LeaseKeepers(world)
     keepers.a.step()
     copy = keepers.state.copy()
     keepers.a.release()
     keepers.b.step()
     lost = keepers.b.epoch()
     keepers.state.restore(copy)
-    new = keepers._keeper(world, A)
+    new = keepers.make_keeper(world, A)
     new.step()
     assert new.epoch() > lost
 
 
-def test_the_first_restore_counts_where_eras_begin_at_zero():
+def test_first_restore_is_detected_after_era_zero():
     """Guards against a restore taken for the first era that is seen."""
-    heard = []
-    eras = Eras()
-    eras.on_change(heard.append)
-    eras.note(Era(0))
-    eras.note(Era(1))
-    assert heard == [1]
+    received = []
+    eras = EraState()
+    eras.on_change(received.append)
+    eras.observe(Era(0))
+    eras.observe(Era(1))
+    assert received == [1]
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -9,18 +9,18 @@
 
 SEED = 20261202
 CALLERS = 6
-CALLS = 12
-MOST_CALLS = 60
-ENOUGH = 6
+MIN_CALLS = 12
+MAX_CALLS = 60
+MIN_RUNS = 6
 """Calls that ran, without which the test would say little."""
 SLOTS = "/v1/services/ledger/slots"
 
 
-def caller(fleet, number, seen):
+def book_repeatedly(fleet, number, seen):
     """Book over and over through both entries and note what was answered."""
     rng = random.Random(SEED + number)
-    for turn in range(MOST_CALLS):
-        if turn >= CALLS and sum(verdict == "ran" for _, verdict in seen) > ENOUGH:
+    for i in range(MAX_CALLS):
+        if i >= MIN_CALLS and sum(verdict == "ran" for _, verdict in seen) > MIN_RUNS:
             return
         entry = rng.choice(["entry-1", "entry-2"])
         try:
@@ -36,7 +36,7 @@
             threading.Event().wait(min(0.5, error["retry_after_s"]))
 
 
-def faults(fleet, done):
+def inject_faults(fleet, done):
     """Kill, freeze and restart the ledger's sidecar until all callers are done."""
     rng = random.Random(SEED)
     while not done.is_set():
@@ -59,7 +59,7 @@
         )
 
 
-def test_verdicts_are_true(tmp_path):
+def test_verdicts_match_runs_of_service(tmp_path):
     """The ledger's sidecar is killed, frozen and replaced while six desks book. A
     desk that hears not_run books again, so a single false one doubles a booking; one
     that hears a confirmation sends the barge, so it must have been made.
@@ -67,10 +67,10 @@
     with Fleet(tmp_path) as fleet:
         small_fleet(fleet, service_delay=0.05)
         seen, done = [], threading.Event()
-        breaker = threading.Thread(target=faults, args=(fleet, done))
-        breaker.start()
+        fault_thread = threading.Thread(target=inject_faults, args=(fleet, done))
+        fault_thread.start()
         callers = [
-            threading.Thread(target=caller, args=(fleet, number, seen))
+            threading.Thread(target=book_repeatedly, args=(fleet, number, seen))
             for number in range(CALLERS)
         ]
         for thread in callers:
@@ -78,7 +78,7 @@
         for thread in callers:
             thread.join()
         done.set()
-        breaker.join()
+        fault_thread.join()
         fleet.processes["sidecar-s1"].stop()
         answer = fleet.http.request("GET", fleet.urls["service-1"] + "/_runs")
         runs = answer.json()["runs"]
@@ -91,5 +91,5 @@
     assert max(runs.values()) == 1
     counts = Counter(verdict for _, verdict in seen)
     print(f"verdicts: {dict(counts)}, runs: {sum(runs.values())}")
-    assert len(seen) >= CALLERS * CALLS
-    assert counts["ran"] > ENOUGH
+    assert len(seen) >= CALLERS * MIN_CALLS
+    assert counts["ran"] > MIN_RUNS
