--- a/src/persimmonhitch/decide/health.py
+++ b/src/persimmonhitch/decide/health.py
@@ -3,7 +3,7 @@
 Load pattern: an upstream crashes, becomes unresponsive, or fails some of its requests
 while its health check is good. Until its record expires, seconds later, every entry
 would still send its full share of the requests there, and those that may not be
-repeated would be lost. On its return, all entries would send everything at once.
+repeated would be lost. On its return, all entries would send all requests at once.
 
 A connection that is refused or times out ejects an upstream at once, since it can run
 no request: for ``MIN_EJECT_S``, doubled at each repeat up to ``MAX_EJECT_S``. Failed
--- a/src/persimmonhitch/decide/load_rate.py
+++ b/src/persimmonhitch/decide/load_rate.py
@@ -4,8 +4,8 @@
 load at once. The weight store serves a few loads per second over all engines; beyond
 that each load takes longer, and callers of all the models wait. Loads start at the rate
 of the store with ``MAX_SAVED_LOADS`` saved, which keeps any window of some seconds
-under the rate with a margin for orders that engines carry out late. A new leader does
-not know which loads were started before its term and begins with none saved.
+under the rate with a margin for orders that engines carry out late. A new leader has no
+record of the loads started before its term, and begins with none saved.
 """
 
 from dataclasses import dataclass
--- a/src/persimmonhitch/decide/missing.py
+++ b/src/persimmonhitch/decide/missing.py
@@ -1,4 +1,4 @@
-"""Models that callers request and that are resident on no engine, and since when.
+"""Requested models that are resident on no engine, and since when.
 
 Load pattern: callers request more models than the engines have room for, and each rare
 model gets a request every few seconds. All of its callers are refused, and averages of
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class AvailabilityChange:
-    """A model that began to be missing, or that was missing for some seconds."""
+    """Change of a model's availability, with the seconds for which it was missing."""
 
     model: Model
     availability: Availability
--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -7,11 +7,11 @@
 
 The entries of a zone send to their parent, the first responsive entry in the order of
 their zone, and the parent relays updates to them. Roots, the entries without a parent,
-send to each other across the zones; there is one root in each zone, except for moments
-of disagreement. An entry that sends nothing for ``UNRESPONSIVE_AFTER_S`` is skipped
-until it sends again, and is probed each ``PROBE_INTERVAL_S``. The order depends on the
-list of entries alone, so all entries agree without messages: VMs with the most
-processor time come first.
+send to each other across the zones; there is one root in each zone, except while
+entries disagree for a moment. An entry that sends nothing for ``UNRESPONSIVE_AFTER_S``
+is skipped until it sends again, and is probed each ``PROBE_INTERVAL_S``. The order
+depends on the list of entries alone, so all entries agree without messages: VMs with
+the most processor time come first.
 """
 
 import hashlib
@@ -85,7 +85,7 @@
     _zones: dict[Zone, list[Member]] = field(default_factory=dict)
     _received_at: dict[Vm, float] = field(default_factory=dict)
     _awaited: dict[Vm, float] = field(default_factory=dict)
-    """Since when this entry expects messages from others."""
+    """Time since which a message of each candidate for a parent or root is expected."""
     _senders: dict[RelayDirection, dict[Vm, float]] = field(
         default_factory=lambda: {direction: {} for direction in RelayDirection}
     )
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -83,7 +83,7 @@
 
 @dataclass
 class RetryBackoff:
-    """Exponential delay before a failed load is retried."""
+    """Delays the retry of a failed load, exponentially with its failures."""
 
     _failures: dict[LoadTarget, tuple[int, float]] = field(default_factory=dict)
 
@@ -94,7 +94,7 @@
         self._failures[target] = (count, now + delay)
 
     def succeeded(self, target: LoadTarget) -> None:
-        """Forget earlier failures."""
+        """Reset the delay."""
         self._failures.pop(target, None)
 
     def blocked_targets(self, now: float) -> set[LoadTarget]:
--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -3,8 +3,8 @@
 Load pattern: an upstream states in its answers how many requests a second it accepts,
 often fewer than there are entries. An equal share for each entry would be less than one
 request in several seconds, and most of it would be unused at entries without callers.
-Buckets that learn late of what others sent would all find the same slot at the same
-moment.
+Buckets that receive the usage of other entries late would all use the same free
+capacity at the same moment.
 
 One entry, the leader, therefore grants requests from a bucket at the rate of the
 upstream, from which its own load orders and inventory reports are taken as well. Other
@@ -116,7 +116,7 @@
             self.grant_expiries.pop(0)
 
     def should_ask(self, now: float, entries: int) -> bool:
-        """Return whether to ask for a grant now, and record that it was asked for."""
+        """Return whether to ask for a grant now, and record the time if so."""
         if self.requested_at is not None and now - self.requested_at < REPLY_TIMEOUT_S:
             return False
         if self.requested_at is not None:
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -48,7 +48,7 @@
 since an engine reloads such a model from its disk within two seconds."""
 NEW_COPY_VALUE: Final = 0.08
 """Value of a last copy that has not been requested yet, as a share of an engine: one
-request per second. Demand moves to such models sooner than back to earlier ones."""
+request per second. Demand moves to such models sooner than it returns to others."""
 COPY_CAPACITY: Final = 0.5
 """Share of the tokens read by an engine that one copy serves without a queue."""
 EXTRA_COPY_WEIGHT: Final = 0.3
--- a/tests/test_decide_processes.py
+++ b/tests/test_decide_processes.py
@@ -76,7 +76,7 @@
             if name in ("sorted", "min", "max") and keyed:
                 found.append(f"{path}:{node.lineno} ranks")
             if name.startswith("random.") and name != "random.Random":
-                found.append(f"{path}:{node.lineno} draws lots")
+                found.append(f"{path}:{node.lineno} samples at random")
     assert found == []
 
 
--- a/tests/test_rare_models.py
+++ b/tests/test_rare_models.py
@@ -26,7 +26,7 @@
 
 
 class HeldLease:
-    """Lease that this entry holds."""
+    """Election in which this entry is the leader."""
 
     predecessor = None
 
@@ -113,7 +113,7 @@
         self.leader.run_round()
         wait_for(
             lambda: all(d.engine.inventory for d in self.leader._controllers.values()),
-            "the engines' state to be learned",
+            "the inventories of the engines",
         )
         self.started_at = self.clock.now
 
