--- a/src/persimmonhitch/fleet/__init__.py
+++ b/src/persimmonhitch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What operators and upstreams say of the fleet, as typed values."""
+"""Typed configuration of the fleet and typed records of its upstreams."""
--- a/src/persimmonhitch/fleet/call.py
+++ b/src/persimmonhitch/fleet/call.py
@@ -1,4 +1,4 @@
-"""One call as its caller describes it, and what an upstream's answer says."""
+"""Parsed headers of requests and replies, and fingerprints of requests."""
 
 import hashlib
 from dataclasses import dataclass
@@ -10,16 +10,19 @@
 
 
 def fingerprint(path: str, account: Account | None, body: bytes) -> Fingerprint:
-    """Return what a call has in common with its repeats under other request ids."""
+    """Return a hash that is equal for all repeats of a request.
+
+    Repeats have the same path, account and body but different request ids.
+    """
     digest = hashlib.blake2b(body, digest_size=FINGERPRINT_BYTES)
-    # Neither a path nor an account holds the byte that ends them here.
+    # Paths and accounts contain no NUL byte, so the separator is unambiguous.
     digest.update(b"\0".join((b"", path.encode(), (account or "").encode())))
     return Fingerprint(digest.hexdigest())
 
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that other calls may share, and its tokens."""
+    """A prompt prefix that several requests may share, and its length in tokens."""
 
     name: str
     tokens: int
@@ -27,7 +30,10 @@
 
 @dataclass(frozen=True)
 class CallerHeaders:
-    """What the headers of a call say; ``patience`` is seconds the caller waits."""
+    """Parsed headers of a caller's request.
+
+    ``timeout_s`` is the time for which the caller waits for the answer.
+    """
 
     request_id: RequestId
     timeout_s: float | None
@@ -37,14 +43,14 @@
     prompt_tokens: int
     output_tokens: int
     has_token_counts: bool
-    """Whether the call came with its own count of tokens."""
+    """Whether the caller sent token counts."""
     prompt_parts: tuple[PromptPart, ...]
     last_event_id: str | None
 
 
 @dataclass(frozen=True)
 class ServerLoad:
-    """Requests that an upstream runs, that wait there, and its places."""
+    """Numbers of running and of waiting requests of an upstream, and its slots."""
 
     running: int
     waiting: int
@@ -53,9 +59,9 @@
 
 @dataclass(frozen=True)
 class RateLimit:
-    """Requests a second that an upstream takes from all entries together.
+    """Requests per second that an upstream accepts from all entries together.
 
-    ``per_second`` is None if what it says can't be read.
+    ``per_second`` is None if the header has no valid number.
     """
 
     per_second: float | None
@@ -63,16 +69,16 @@
 
 @dataclass(frozen=True)
 class ReplyHeaders:
-    """What the headers of an upstream's answer say besides its content."""
+    """Parsed headers of an upstream's reply."""
 
     has_signature: bool
-    """Whether the answer is the upstream's own word on a request it ran."""
+    """Whether the reply is signed by the upstream that ran the request."""
     not_run: bool
     request_id: RequestId | None
     instance: Upstream | None
     load: ServerLoad | None
     limit: RateLimit | None
-    """None if it names no limit."""
+    """None if the reply states no limit."""
     retry_after: float | None
     idle_timeout_s: float | None
     """Seconds after which the upstream closes an idle connection."""
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration of a fleet whose upstreams are called directly."""
+"""Configuration of the fleet by its operators."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,17 +8,17 @@
 
 
 class CallKind(Enum):
-    """What may be done again with the calls of a route."""
+    """Whether requests of a route may be repeated, and how they are answered."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
     STREAM = "stream"
-    """Answered by events; runs at most once unless the route may be resumed."""
+    """Answered by a stream of events; runs only once unless the route is resumable."""
 
 
 @dataclass(frozen=True)
 class Target:
-    """One service of a route and its part of the route's calls."""
+    """A service of a route and its weight in the traffic split."""
 
     service: Service
     weight: float
@@ -26,10 +26,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Calls of one host below one path.
+    """Rules for requests to one host below one path prefix.
 
-    ``timeout``, ``aim`` and ``gap_aim`` are seconds: how long a caller is kept, up
-    to when an answer has its full worth, and the longest pause within a stream.
+    All times are in seconds. ``timeout`` is the longest time for a request,
+    ``latency_target`` the latency up to which an answer has its full value, and
+    ``token_gap_target`` the longest acceptable gap between events of a stream.
     ``rank`` 0 is the most urgent.
     """
 
@@ -48,13 +49,17 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a call may run again after it may have run."""
+        """Return whether a request may be repeated after it may have run."""
         return self.kind is CallKind.IDEMPOTENT
 
 
 @dataclass(frozen=True)
 class ModelSpec:
-    """One model; memory in MB, times of a load in seconds by where its weights are."""
+    """Memory and load times of one model.
+
+    A cold load reads the weights from the weight store, a disk or memory load from
+    the cache of the VM.
+    """
 
     name: Model
     memory_mb: float
@@ -67,20 +72,20 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """What every engine of a service offers; memory in MB."""
+    """Capacity and models of each engine of a service."""
 
     slots: int
     kv_tokens: int
     memory_mb: float
     adapter_slots: int
     loads_per_second: float
-    """Loads from the weight store that all engines together may begin."""
+    """Cold loads that all engines together may start per second."""
     models: Mapping[Model, ModelSpec]
 
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """One service; ``engine`` is None for a plain one."""
+    """One service; ``engine`` is None if it serves no models."""
 
     name: Service
     health_path: str
@@ -90,20 +95,20 @@
 
 @dataclass(frozen=True)
 class AccountSpec:
-    """One client account; a rate of 0 has no limit."""
+    """One client account; a rate of 0 means no limit."""
 
     name: Account
     rank: int | None
-    """Replaces the rank of the route where it is given."""
+    """Overrides the rank of the route if not None."""
     rate: float
     burst: float
     flat_cost: Tokens
-    """Tokens that a call without a count of its own costs."""
+    """Cost of a request without token counts."""
 
 
 @dataclass(frozen=True)
 class FleetConfig:
-    """One version of the whole configuration."""
+    """One version of the complete configuration."""
 
     version: ConfigVersion
     routes: tuple[Route, ...] = ()
@@ -113,4 +118,4 @@
 
 
 EMPTY_CONFIG = FleetConfig(ConfigVersion(0))
-"""Stands for the configuration until one has been read."""
+"""Used until a configuration has been read."""
--- a/src/persimmonhitch/fleet/routes.py
+++ b/src/persimmonhitch/fleet/routes.py
@@ -1,4 +1,4 @@
-"""Finds the route of a call."""
+"""Lookup of the route for a request."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -7,17 +7,17 @@
 
 
 def host_name(host: str) -> str:
-    """Return a Host header without port, in lower case."""
+    """Return the host of a Host header: without port, in lower case."""
     return host.rsplit(":", 1)[0].lower() if ":" in host else host.lower()
 
 
 class RouteTable:
-    """Routes by host, the longest prefix first.
+    """Finds routes by host and longest path prefix.
 
     Parameters
     ----------
     routes : iterable of Route
-        Those of one configuration; every prefix ends with a slash.
+        Routes of one configuration; every prefix ends with a slash.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
@@ -28,7 +28,8 @@
     def find(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of ``path``, or None.
 
-        One look-up for each slash, so that thousands of routes cost no more.
+        The cost is one dictionary lookup per slash of the path, however many routes
+        there are.
         """
         prefixes = self._hosts.get(host_name(host))
         if prefixes is None:
--- a/src/persimmonhitch/fleet/upstream.py
+++ b/src/persimmonhitch/fleet/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams as they report themselves."""
+"""Records and inventories that upstreams report about themselves."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -7,31 +7,32 @@
 from ..ids import Adapter, Model, Service, Upstream, Zone
 
 NOT_COUNTED: Final = -1
+"""``order_count`` of an inventory from a registration record, which has no count."""
 
 
 @dataclass(frozen=True)
 class EngineInventory:
-    """What one engine holds, as of a number of orders that it took.
+    """Resident and cached models of an engine after ``order_count`` orders.
 
-    ``orders`` starts anew with each start of the engine. An engine tells it in its own
-    report; its entry in the store leaves it out, ``ORDERS_UNKNOWN``.
+    The engine counts accepted orders from zero at each start and reports the count.
+    Its registration record in the store omits it; then it is ``NOT_COUNTED``.
     """
 
     order_count: int
     models: Mapping[Model, frozenset[Adapter]]
     loading: Mapping[Model, frozenset[Adapter]] = field(default_factory=dict)
-    """Adapters that are being loaded; they take places already."""
+    """Adapters that are being loaded; they occupy adapter slots already."""
     in_memory: frozenset[Model] = frozenset()
     on_disk: frozenset[Model] = frozenset()
     busy: bool = False
 
     def has(self, model: Model, adapter: Adapter | None) -> bool:
-        """Return whether a call for a model and its adapter can run there now."""
+        """Return whether a model and its adapter, if any, are resident."""
         adapters = self.models.get(model)
         return adapters is not None and (adapter is None or adapter in adapters)
 
     def adapter_slots_used(self) -> int:
-        """Return the adapters that are there or on their way."""
+        """Return the number of resident and loading adapters."""
         return sum(len(a) for a in self.models.values()) + sum(
             len(a) for a in self.loading.values()
         )
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class UpstreamRecord:
-    """One upstream by its own account."""
+    """Registration record of an upstream, written by the upstream."""
 
     name: Upstream
     service: Service
@@ -49,6 +50,6 @@
     slots: int
     draining: bool
     started_at_ms: int
-    """Millisecond at which it started; tells its starts under one name apart."""
+    """Start time; distinguishes successive instances with the same name."""
     inventory: EngineInventory | None
-    """None for a plain service."""
+    """None for an upstream of a service without models."""
--- a/src/persimmonhitch/ids.py
+++ b/src/persimmonhitch/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers that the programs exchange, each a type of its own."""
+"""Distinct types for the identifiers that processes exchange."""
 
 import secrets
 from typing import Final, NewType
@@ -16,29 +16,29 @@
 KeyHash = NewType("KeyHash", str)
 LoanId = NewType("LoanId", str)
 Fingerprint = NewType("Fingerprint", str)
-"""What is the same in all attempts of a call: its path, client account and body."""
+"""Hash of path, client account and body; equal for all repeats of a request."""
 Incarnation = NewType("Incarnation", str)
-"""One life of one process; a restarted process has another."""
+"""One run of a process; a restarted process has a new one."""
 Epoch = NewType("Epoch", int)
-"""Fencing number of the planner's lease; only ever rises."""
+"""Fencing token of the planner's lease; never decreases."""
 ConfigVersion = NewType("ConfigVersion", int)
-"""Number of the newest configuration change applied; only ever rises."""
+"""Number of the newest applied configuration change; never decreases."""
 Tokens = NewType("Tokens", float)
-"""Prompt tokens plus generated tokens, the unit of rates and bursts."""
+"""Sum of prompt and generated tokens; the unit of rates and bursts."""
 
 ID_BYTES: Final = 12
 
 
 def new_request_id() -> RequestId:
-    """Return a fresh request id."""
+    """Return a new random request id."""
     return RequestId(secrets.token_hex(ID_BYTES))
 
 
 def new_incarnation() -> Incarnation:
-    """Return a fresh incarnation for a process that starts."""
+    """Return a new random incarnation for a starting process."""
     return Incarnation(secrets.token_hex(ID_BYTES))
 
 
 def new_loan_id() -> LoanId:
-    """Return a fresh id for one loan of tokens."""
+    """Return a new random id for a loan of tokens."""
     return LoanId(secrets.token_hex(ID_BYTES))
--- a/src/persimmonhitch/verdict.py
+++ b/src/persimmonhitch/verdict.py
@@ -1,4 +1,4 @@
-"""Failures, each with a verdict on whether the request may have run."""
+"""Failures of requests, with a verdict on whether the request may have run."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class Verdict(Enum):
-    """Whether the upstream may have acted on a request."""
+    """Whether the upstream may have run the request."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -14,7 +14,7 @@
 
 
 class ErrorCode(Enum):
-    """What went wrong, as callers see it in ``error.code``."""
+    """Reason of a failure, sent to callers in ``error.code``."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -66,18 +66,18 @@
 
 @dataclass(frozen=True)
 class Failure:
-    """Why a request got no full answer.
+    """Reason why a request received no complete answer.
 
     Attributes
     ----------
     code : ErrorCode
-        What went wrong.
+        Reason of the failure.
     message : str
-        One sentence for the caller; never holds a key or a prompt.
+        One sentence for the caller; never contains a key or a prompt.
     verdict : Verdict
-        Whether the upstream may have acted on the request.
+        Whether the upstream may have run the request.
     retry_after : float or None
-        Seconds after which coming back helps; None where it does not.
+        Seconds after which a retry may succeed; None if a retry does not help.
     """
 
     code: ErrorCode
@@ -87,5 +87,5 @@
 
     @property
     def http_status(self) -> int:
-        """Return the HTTP status that goes with the code."""
+        """Return the HTTP status of the code."""
         return HTTP_STATUS[self.code]
