--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -21,7 +21,7 @@
 from typing import Final
 
 from ..ids import Adapter, Upstream, Zone
-from ..wire.messages import Report
+from ..wire.messages import LoadReport
 
 HINT_WEIGHT: Final = 0.7
 MAX_AFFINITY_DELAY_S: Final = 0.15
@@ -98,7 +98,7 @@
         """Remove a finished request from the count."""
         self._in_flight_tokens = max(self._in_flight_tokens - cost, 0.0)
 
-    def on_report(self, report: Report) -> None:
+    def on_report(self, report: LoadReport) -> None:
         """Update the load and, if the upstream is busy, its rate from a report."""
         busy = report.queued > 0 or report.running >= report.limit
         if report.token_rate > 0.0:
--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ..ids import ConfigVersion, Fingerprint, RequestId, Upstream
-from ..observe.logs import Sampled, log
+from ..observe.logs import SampledLog, log
 from ..observe.metrics import Metrics
 from ..verdict import Failure, Verdict
 from .abort import Abort, Watchdog
@@ -74,7 +74,7 @@
         self._metrics = metrics
         self._config_version = config_version
         self._clock = clock
-        self._completion_log = Sampled("request_done")
+        self._completion_log = SampledLog("request_done")
 
     def start(self, request: InFlightRequest) -> None:
         """Start tracking a request."""
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -128,7 +128,7 @@
             self.incarnation,
             self.overlay,
             self.mesh.send_frame,
-            observe_age=self.metrics.news_age,
+            observe_age=self.metrics.update_age,
         )
         self.pushes = WatchRelay(self.mesh.send_frame, observe_era=self.eras.observe)
         self.update_delta = UpdateDelta()
@@ -451,7 +451,7 @@
         """
         started_at = time.monotonic()
         self.draining.set()
-        self.server.leave()
+        self.server.disable_keep_alive()
         threading.Thread(target=self._step_down, name="leave", daemon=True).start()
         lifecycle.forced.wait(self.cfg.stop_notice)
         self.server.stop_listening()
--- a/src/persimmonhitch/entry/forward.py
+++ b/src/persimmonhitch/entry/forward.py
@@ -173,7 +173,7 @@
                 return Err(Failure(ErrorCode.UPSTREAM_ERROR, reason, Verdict.RAN))
             if isinstance(frame, End):
                 body = b"".join(parts)
-                return Success(Whole(head.status, head.headers, body, frame.used))
+                return Success(Whole(head.status, head.headers, body, frame.tokens))
         raise AssertionError("an attempt ended without End or Fail")
 
 
@@ -215,7 +215,7 @@
         adapter=None,
         version=version,
         priority=req.priority,
-        deadline=max(0.0, req.deadline_at - now),
+        timeout_s=max(0.0, req.deadline_at - now),
         repeatable=req.repeatable,
         method=call.method,
         path=call.path,
@@ -224,6 +224,6 @@
         cost=req.cost,
         traceparent=req.traceparent,
         weight=req.weight,
-        giver=req.reservation.giver,
+        lender=req.reservation.giver,
         generation=req.reservation.generation,
     )
--- a/src/persimmonhitch/entry/gateway.py
+++ b/src/persimmonhitch/entry/gateway.py
@@ -96,8 +96,8 @@
         began = time.monotonic()
         route = "chat" if req.path == CHAT_PATH else "service"
         self._metrics.request_started(route)
-        parent = self._traces.from_caller(req.headers.get("traceparent", ""))
-        hop = self._traces.begin(HopName.ENTRY, parent, request=request, route=route)
+        parent = self._traces.resample(req.headers.get("traceparent", ""))
+        hop = self._traces.start(HopName.ENTRY, parent, request=request, route=route)
         admitted = self._admit(req, request, hop)
         if not isinstance(admitted, Success):
             self._close(None, route, hop, began, admitted.failure(), 0)
@@ -144,7 +144,7 @@
         if not isinstance(reserved, Success):
             self._close(req.account, route, hop, began, reserved.failure(), 0)
             return failure_answer(reserved.failure(), req.request)
-        self._metrics.queued(req.account, time.monotonic() - began)
+        self._metrics.queue_time(req.account, time.monotonic() - began)
         reservation = reserved.unwrap()
         opened = _Open(req.request, req.account, began, route, hop, reservation)
         req = replace(req, reservation=reservation)
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -108,7 +108,7 @@
         )
 
     def _full(self) -> Failure | None:
-        return connections_refusal(self.server.busy(), self.cfg.threads)
+        return connections_refusal(self.server.busy_conns(), self.cfg.threads)
 
     def _ready(self) -> bool:
         # Without the sidecars every request would be refused here, while another
@@ -171,7 +171,7 @@
         would show to callers as refused connections.
         """
         self.app.leaving.set()
-        self.server.leave()
+        self.server.disable_keep_alive()
         life.forced.wait(self.cfg.stop_notice)
         self.server.stop_listening()
         cut = self.server.drain(self.cfg.stop_limit, life.forced)
--- a/src/persimmonhitch/entry/sidecar_conn.py
+++ b/src/persimmonhitch/entry/sidecar_conn.py
@@ -15,18 +15,18 @@
 from ..verdict import Verdict
 from ..wire.link import Link, open_link
 from ..wire.messages import (
-    Buried,
-    Bury,
     Cancel,
     Chunk,
     End,
     Fail,
-    Flow,
+    FlowControl,
     Head,
     Hello,
-    Report,
+    LoadReport,
     Resume,
     Submit,
+    Tombstone,
+    TombstoneReply,
     Welcome,
 )
 from .directory import SidecarInfo
@@ -56,7 +56,7 @@
         self.link: Link | None = None
         self.incarnation: Incarnation | None = None
         self.models: frozenset[Model] = info.models
-        self.report: Report | None = None
+        self.report: LoadReport | None = None
         self.report_at = 0.0
         self._since: dict[Model, float] = {}
         self.dropped = 0
@@ -133,7 +133,7 @@
         self._versions.hint(theirs)
 
     @take.register
-    def _(self, msg: Report) -> None:
+    def _(self, msg: LoadReport) -> None:
         self._compare(msg.version)
         self.report = msg
         with self._lock:
@@ -153,7 +153,7 @@
             self.dropped += 1
 
     @take.register
-    def _(self, msg: Buried) -> None:
+    def _(self, msg: TombstoneReply) -> None:
         with self._lock:
             waiter = self._burials.get(msg.request)
             self._verdicts[msg.request] = msg.verdict
@@ -198,7 +198,7 @@
 
     def _flow(self, exchange: Exchange, go_on: bool) -> None:
         if self.link is not None:
-            self.link.send(Flow(exchange.request, exchange.attempt, go_on))
+            self.link.send(FlowControl(exchange.request, exchange.attempt, go_on))
 
     def cancel(self, exchange: Exchange) -> None:
         """Say that nobody waits for the attempt any more."""
@@ -210,7 +210,7 @@
         waiter = threading.Event()
         with self._lock:
             self._burials[request] = waiter
-        sent = self.link is not None and self.link.send(Bury(request, incarnation))
+        sent = self.link is not None and self.link.send(Tombstone(request, incarnation))
         if sent:
             waiter.wait(BURY_TIMEOUT)
         with self._lock:
--- a/src/persimmonhitch/entry/stream.py
+++ b/src/persimmonhitch/entry/stream.py
@@ -43,7 +43,7 @@
                 self._on_part()
                 yield frame.data
             elif isinstance(frame, End):
-                self._end(None, frame.used)
+                self._end(None, frame.tokens)
             elif isinstance(frame, Fail):
                 # A stream that just stopped would pass for a whole answer.
                 exc = frame.failure()
--- a/src/persimmonhitch/kernel/actors.py
+++ b/src/persimmonhitch/kernel/actors.py
@@ -9,7 +9,7 @@
 R = TypeVar("R")
 
 
-class Method(Protocol, Generic[P, R]):
+class ProxyMethod(Protocol, Generic[P, R]):
     """A method of an actor, as its proxy offers it."""
 
     def __call__(self, *args: P.args, **kwargs: P.kwargs) -> "pykka.Future[R]":
@@ -19,6 +19,6 @@
         """Call it without an answer; an error goes to the actor's ``on_failure``."""
 
 
-def proxied(method: Callable[Concatenate[Any, P], R]) -> Method[P, R]:
+def proxied(method: Callable[Concatenate[Any, P], R]) -> ProxyMethod[P, R]:
     """Type a method on an actor's proxy."""
-    return cast(Method[P, R], method)
+    return cast(ProxyMethod[P, R], method)
--- a/src/persimmonhitch/kernel/lifecycle.py
+++ b/src/persimmonhitch/kernel/lifecycle.py
@@ -21,11 +21,11 @@
         self.stopping = threading.Event()
         self.forced = threading.Event()
         self._reload: Callable[[], None] | None = None
-        self._steps: list[tuple[str, Callable[[], None]]] = []
+        self._stop_steps: list[tuple[str, Callable[[], None]]] = []
 
     def on_stop(self, name: str, step: Callable[[], None]) -> None:
         """Enter a step to run at the stop; the last one entered runs first."""
-        self._steps.append((name, step))
+        self._stop_steps.append((name, step))
 
     def on_reload(self, step: Callable[[], None]) -> None:
         """Set what SIGHUP asks for; without it the signal is logged alone."""
@@ -42,18 +42,18 @@
         One that was just thawed may even have its handler run by no thread at all.
         """
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-        threading.Thread(target=self._listen, name="signals", daemon=True).start()
+        threading.Thread(target=self._on_signals, name="signals", daemon=True).start()
 
-    def _listen(self) -> None:
+    def _on_signals(self) -> None:
         while True:
             if signal.sigwait(SIGNALS) == signal.SIGHUP:
-                self._run_reload()
+                self._reload_settings()
                 continue
             if self.stopping.is_set():
                 self.forced.set()
             self.stopping.set()
 
-    def _run_reload(self) -> None:
+    def _reload_settings(self) -> None:
         try:
             if self._reload is not None:
                 self._reload()
@@ -68,7 +68,7 @@
     def stop(self) -> None:
         """Run all steps; one that fails is logged and the rest still run."""
         self.stopping.set()
-        for name, step in reversed(self._steps):
+        for name, step in reversed(self._stop_steps):
             try:
                 step()
             except Exception as exc:
--- a/src/persimmonhitch/kernel/registry.py
+++ b/src/persimmonhitch/kernel/registry.py
@@ -19,20 +19,20 @@
         What the plug-ins are, for error messages.
     """
 
-    def __init__(self, sort: str) -> None:
-        self.sort = sort
+    def __init__(self, kind: str) -> None:
+        self.kind = kind
         self._plugins: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
         """Return a decorator that enters a plug-in under ``name``."""
 
-        def enter(plugin: T) -> T:
+        def add(plugin: T) -> T:
             if name in self._plugins:
-                raise DuplicatePlugin(f"two {self.sort} plug-ins named {name!r}")
+                raise DuplicatePlugin(f"two {self.kind} plug-ins named {name!r}")
             self._plugins[name] = plugin
             return plugin
 
-        return enter
+        return add
 
     def get(self, name: str) -> T | None:
         """Return the plug-in of that name, or None."""
--- a/src/persimmonhitch/kernel/service.py
+++ b/src/persimmonhitch/kernel/service.py
@@ -25,7 +25,7 @@
     def start(self) -> None:
         """Serve from now on."""
 
-    def stop(self, life: Lifecycle) -> None:
+    def stop(self, lifecycle: Lifecycle) -> None:
         """Leave without cutting a request."""
 
 
@@ -51,14 +51,14 @@
     cfg = load_or_exit(settings, Path(args["--settings"]))
     if args["--check"]:
         return 0
-    life = Lifecycle()
+    lifecycle = Lifecycle()
     # Before the logs: their thread would take the signals by their default.
-    life.install_signals()
+    lifecycle.install_signals()
     start_logs(name, cfg.vm)
-    service = build(cfg, life)
+    service = build(cfg, lifecycle)
     service.start()
-    life.on_stop(name, lambda: service.stop(life))
-    life.wait()
-    life.stop()
+    lifecycle.on_stop(name, lambda: service.stop(lifecycle))
+    lifecycle.wait()
+    lifecycle.stop()
     flush_logs()
     return 0
--- a/src/persimmonhitch/observe/logs.py
+++ b/src/persimmonhitch/observe/logs.py
@@ -9,37 +9,37 @@
 
 from eliot import add_destinations, log_message
 
-SKIPPED: Final = frozenset({"task_uuid", "task_level", "timestamp", "message_type"})
-MOST_LINES: Final = 2000
+OMITTED: Final = frozenset({"task_uuid", "task_level", "timestamp", "message_type"})
+MAX_QUEUED_LINES: Final = 2000
 """Lines that wait for a slow reader; about half a megabyte."""
-FLUSH_LIMIT: Final = 0.5
+FLUSH_TIMEOUT_S: Final = 0.5
 """Seconds that the end of a process waits for its last lines."""
-SAMPLED_LINES: Final = 50
+MAX_SAMPLED_PER_S: Final = 50
 """Lines a second of answers that went well: enough to see a process at work, and a
 bound on what they cost however many requests come."""
-QUOTED: Final = frozenset(' "=\n\t\r')
+QUOTED_CHARS: Final = frozenset(' "=\n\t\r')
 
 
-def render_value(value: object) -> str:
+def format_value(value: object) -> str:
     """Return a value as it stands in a line, quoted where it must be."""
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
-    if text and not QUOTED.intersection(text):
+    if text and not QUOTED_CHARS.intersection(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     escaped = escaped.replace("\n", "\\n").replace("\r", "\\r").replace("\t", "\\t")
     return f'"{escaped}"'
 
 
-def render(event: dict[str, Any]) -> str:
+def format_event(event: dict[str, Any]) -> str:
     """Return the line for one event of the logging library."""
-    when = datetime.fromtimestamp(event["timestamp"], tz=UTC)
-    stamp = when.isoformat(timespec="milliseconds")
-    pairs = [f"ts={stamp}", f"event={render_value(event.get('message_type', '-'))}"]
-    pairs += [f"{k}={render_value(v)}" for k, v in event.items() if k not in SKIPPED]
+    time_utc = datetime.fromtimestamp(event["timestamp"], tz=UTC)
+    stamp = time_utc.isoformat(timespec="milliseconds")
+    pairs = [f"ts={stamp}", f"event={format_value(event.get('message_type', '-'))}"]
+    pairs += [f"{k}={format_value(v)}" for k, v in event.items() if k not in OMITTED]
     return " ".join(pairs)
 
 
-class LineDestination:
+class LogWriter:
     """Writes events as lines to a stream, from a thread of its own.
 
     Whoever reads the stream may stop reading. A thread that wrote to it by itself would
@@ -47,11 +47,11 @@
     queue full are left out and counted.
     """
 
-    def __init__(self, stream: TextIO, most: int = MOST_LINES) -> None:
+    def __init__(self, stream: TextIO, max_lines: int = MAX_QUEUED_LINES) -> None:
         self._stream = stream
-        self._most = most
+        self._max_lines = max_lines
         self._lines: deque[str] = deque()
-        self._left_out = 0
+        self._dropped = 0
         self._changed = threading.Condition()
         self._writing = False
         self._thread = threading.Thread(target=self._run, name="logs", daemon=True)
@@ -59,10 +59,10 @@
 
     def __call__(self, event: dict[str, Any]) -> None:
         """Take one event."""
-        line = render(event)
+        line = format_event(event)
         with self._changed:
-            if len(self._lines) >= self._most:
-                self._left_out += 1
+            if len(self._lines) >= self._max_lines:
+                self._dropped += 1
                 return
             self._lines.append(line)
             self._changed.notify()
@@ -76,9 +76,9 @@
                     self._changed.wait()
                 self._writing = True
                 lines, self._lines = self._lines, deque()
-                if self._left_out:
-                    lines.append(f"event=lines_left_out count={self._left_out}")
-                    self._left_out = 0
+                if self._dropped:
+                    lines.append(f"event=lines_left_out count={self._dropped}")
+                    self._dropped = 0
             try:
                 self._stream.write("\n".join(lines) + "\n")
                 self._stream.flush()
@@ -86,32 +86,32 @@
                 # Nobody is left to tell it to.
                 return
 
-    def flush(self, limit: float) -> None:
+    def flush(self, timeout_s: float) -> None:
         """Wait until all lines are written, for at most ``limit`` seconds."""
-        end = time.monotonic() + limit
+        deadline = time.monotonic() + timeout_s
         with self._changed:
-            while (self._lines or self._writing) and time.monotonic() < end:
-                self._changed.wait(max(0.0, end - time.monotonic()))
+            while (self._lines or self._writing) and time.monotonic() < deadline:
+                self._changed.wait(max(0.0, deadline - time.monotonic()))
 
 
-_destinations: Final[list[LineDestination]] = []
+_writers: Final[list[LogWriter]] = []
 
 
 def start_logs(program: str, vm: str) -> None:
     """Send all events of this process to standard output."""
-    destination = LineDestination(sys.stdout)
-    _destinations.append(destination)
+    writer = LogWriter(sys.stdout)
+    _writers.append(writer)
 
-    def with_source(event: dict[str, Any]) -> None:
-        destination({**event, "program": program, "vm": vm})
+    def write_event(event: dict[str, Any]) -> None:
+        writer({**event, "program": program, "vm": vm})
 
-    add_destinations(with_source)
+    add_destinations(write_event)
 
 
-def flush_logs(limit: float = FLUSH_LIMIT) -> None:
+def flush_logs(timeout_s: float = FLUSH_TIMEOUT_S) -> None:
     """Write what is still queued, before a process ends."""
-    for destination in _destinations:
-        destination.flush(limit)
+    for writer in _writers:
+        writer.flush(timeout_s)
 
 
 def announce(line: str) -> None:
@@ -125,16 +125,16 @@
     log_message(message_type=event, **fields)
 
 
-class Sampled:
+class SampledLog:
     """Logs events of one sort up to a number a second, and counts the rest.
 
     Answers that went well come by the thousand under load and say the same; each line
     takes processor time from the requests that are to be answered.
     """
 
-    def __init__(self, event: str, per_second: int = SAMPLED_LINES) -> None:
+    def __init__(self, event: str, max_per_s: int = MAX_SAMPLED_PER_S) -> None:
         self._event = event
-        self._most = per_second
+        self._max_per_s = max_per_s
         self._second = 0
         self._count = 0
         self._lock = threading.Lock()
@@ -143,13 +143,13 @@
         """Log one event, or count it."""
         now = int(time.monotonic())
         with self._lock:
-            missed = 0
+            dropped = 0
             if now != self._second:
-                missed = max(0, self._count - self._most)
+                dropped = max(0, self._count - self._max_per_s)
                 self._second, self._count = now, 0
             self._count += 1
-            kept = self._count <= self._most
-        if missed:
-            log(f"{self._event}_left_out", count=missed)
-        if kept:
+            sampled = self._count <= self._max_per_s
+        if dropped:
+            log(f"{self._event}_left_out", count=dropped)
+        if sampled:
             log(self._event, **fields)
--- a/src/persimmonhitch/observe/metrics.py
+++ b/src/persimmonhitch/observe/metrics.py
@@ -23,11 +23,11 @@
 CONTENT_TYPE: Final = "text/plain; version=0.0.4; charset=utf-8"
 MAX_ACCOUNTS: Final = 200
 """Accounts with series of their own in one process; the rest share one."""
-OTHER: Final = "other"
-NO_VERDICT: Final = "ran"
-SECONDS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 2.5, 5.0, 15.0)
+OTHER_ACCOUNTS: Final = "other"
+COMPLETED: Final = "ran"
+BUCKETS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 2.5, 5.0, 15.0)
 """Bucket bounds of waits; 0.75 s is the aim for the first token."""
-GAP_SECONDS: Final = (0.005, 0.01, 0.02, 0.03, 0.04, 0.054, 0.075, 0.1, 0.25, 1.0)
+GAP_BUCKETS: Final = (0.005, 0.01, 0.02, 0.03, 0.04, 0.054, 0.075, 0.1, 0.25, 1.0)
 """Bucket bounds of the time between tokens; 54 ms is the aim."""
 
 Labels = Mapping[str, str | int]
@@ -56,7 +56,7 @@
     "Requests that got an error, by its code and verdict.",
     ("code", "verdict"),
 )
-ACTIVE: Final = Instrument(
+ACTIVE_REQUESTS: Final = Instrument(
     "http.server.active_requests",
     "",
     "Requests accepted and not yet answered in full, by route.",
@@ -67,28 +67,28 @@
     "s",
     "Time from a request's arrival to the end of its answer.",
     ("route",),
-    SECONDS,
+    BUCKETS,
 )
 QUEUE_TIME: Final = Instrument(
     "persimmonhitch.queue.duration",
     "s",
     "Time that an admitted request waited before it was sent on.",
     ("account",),
-    SECONDS,
+    BUCKETS,
 )
-FIRST_TOKEN: Final = Instrument(
+TIME_TO_FIRST_TOKEN: Final = Instrument(
     "gen_ai.server.time_to_first_token",
     "s",
     "Time from a request's arrival to the first part of its answer.",
     ("account",),
-    SECONDS,
+    BUCKETS,
 )
 TOKEN_GAP: Final = Instrument(
     "gen_ai.server.time_per_output_token",
     "s",
     "Time between two parts of a streamed answer.",
     (),
-    GAP_SECONDS,
+    GAP_BUCKETS,
 )
 TOKENS: Final = Instrument(
     "persimmonhitch.tokens",
@@ -102,7 +102,7 @@
     "Attempts beyond the first, by the code of the failure before.",
     ("code",),
 )
-BORROWED: Final = Instrument(
+BORROWED_TOKENS: Final = Instrument(
     "persimmonhitch.limiter.borrowed",
     "",
     "Tokens borrowed from other entries' shares.",
@@ -124,28 +124,28 @@
     "Generation of the share record that this process spends under.",
     ("account",),
 )
-NEWS_AGE: Final = Instrument(
+UPDATE_AGE: Final = Instrument(
     "persimmonhitch.news.age",
     "s",
     "Age of the oldest news of another entry in a message that brought some.",
     (),
-    SECONDS,
+    BUCKETS,
 )
 INSTRUMENTS: Final = (
     REQUESTS,
     REFUSALS,
-    ACTIVE,
+    ACTIVE_REQUESTS,
     DURATION,
     QUEUE_TIME,
-    FIRST_TOKEN,
+    TIME_TO_FIRST_TOKEN,
     TOKEN_GAP,
     TOKENS,
     RETRIES,
-    BORROWED,
+    BORROWED_TOKENS,
     CONFIG_VERSION,
     STORE_ERA,
     SHARE_GENERATION,
-    NEWS_AGE,
+    UPDATE_AGE,
 )
 
 
@@ -158,8 +158,8 @@
     shows as ``process_resident_memory_bytes`` that climbs by the day.
     """
 
-    most: int = MAX_ACCOUNTS
-    _known: set[Account] = field(default_factory=set)
+    max_accounts: int = MAX_ACCOUNTS
+    _labeled: set[Account] = field(default_factory=set)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def label(self, account: Account | None) -> str:
@@ -167,11 +167,11 @@
         if account is None:
             return "-"
         with self._lock:
-            if account in self._known:
+            if account in self._labeled:
                 return account
-            if len(self._known) >= self.most:
-                return OTHER
-            self._known.add(account)
+            if len(self._labeled) >= self.max_accounts:
+                return OTHER_ACCOUNTS
+            self._labeled.add(account)
             return account
 
 
@@ -204,14 +204,14 @@
         self._refusals = self._counter(REFUSALS)
         self._tokens = self._counter(TOKENS)
         self._retries = self._counter(RETRIES)
-        self._borrowed = self._counter(BORROWED)
+        self._borrowed = self._counter(BORROWED_TOKENS)
         self._duration = self._histogram(DURATION)
         self._queue_time = self._histogram(QUEUE_TIME)
-        self._first_token = self._histogram(FIRST_TOKEN)
+        self._first_token = self._histogram(TIME_TO_FIRST_TOKEN)
         self._token_gap = self._histogram(TOKEN_GAP)
-        self._news_age = self._histogram(NEWS_AGE)
+        self._update_age = self._histogram(UPDATE_AGE)
         self._active = self._meter.create_up_down_counter(
-            ACTIVE.name, ACTIVE.unit, ACTIVE.help
+            ACTIVE_REQUESTS.name, ACTIVE_REQUESTS.unit, ACTIVE_REQUESTS.help
         )
         self._version = self._gauge(CONFIG_VERSION)
         self._era = self._gauge(STORE_ERA)
@@ -244,7 +244,7 @@
         seconds: float,
     ) -> None:
         """Count a request out with its outcome."""
-        verdict = NO_VERDICT if failure is None else failure.verdict.value
+        verdict = COMPLETED if failure is None else failure.verdict.value
         self._active.add(-1, {"route": route})
         self._duration.record(seconds, {"route": route})
         labels: Labels = {
@@ -258,25 +258,25 @@
             code = failure.code.value
             self._refusals.add(1, {"code": code, "verdict": verdict})
 
-    def queued(self, account: Account, seconds: float) -> None:
+    def queue_time(self, account: Account, seconds: float) -> None:
         """Record how long a request waited before it was sent on."""
-        self._queue_time.record(seconds, self._of(account))
+        self._queue_time.record(seconds, self._account_labels(account))
 
     def first_token(self, account: Account, seconds: float) -> None:
         """Record the time to the first part of an answer."""
-        self._first_token.record(seconds, self._of(account))
+        self._first_token.record(seconds, self._account_labels(account))
 
     def token_gap(self, seconds: float) -> None:
         """Record the time between two parts of an answer."""
         self._token_gap.record(seconds)
 
-    def news_age(self, seconds: float) -> None:
+    def update_age(self, seconds: float) -> None:
         """Record how old the news of another entry were when they came."""
-        self._news_age.record(seconds)
+        self._update_age.record(seconds)
 
     def tokens_used(self, account: Account, tokens: float) -> None:
         """Count tokens charged to an account."""
-        self._tokens.add(tokens, self._of(account))
+        self._tokens.add(tokens, self._account_labels(account))
 
     def retried(self, failure: Failure) -> None:
         """Count an attempt beyond the first, after ``failure``."""
@@ -284,7 +284,7 @@
 
     def borrowed(self, account: Account, tokens: float) -> None:
         """Count tokens that came from another entry's share."""
-        self._borrowed.add(tokens, self._of(account))
+        self._borrowed.add(tokens, self._account_labels(account))
 
     def config_version(self, version: ConfigVersion) -> None:
         """Show the configuration version in force."""
@@ -296,9 +296,9 @@
 
     def share_generation(self, account: Account, generation: int) -> None:
         """Show the generation of an account's share record."""
-        self._generation.set(generation, self._of(account))
+        self._generation.set(generation, self._account_labels(account))
 
-    def _of(self, account: Account) -> Labels:
+    def _account_labels(self, account: Account) -> Labels:
         return {"account": self._accounts.label(account)}
 
     def render(self) -> bytes:
--- a/src/persimmonhitch/observe/traces.py
+++ b/src/persimmonhitch/observe/traces.py
@@ -34,10 +34,10 @@
 from ..verdict import Failure
 from .logs import log
 
-HEADER: Final = "traceparent"
-NANOSECONDS: Final = 1e9
-MAX_TEXT: Final = 120
-ATTRIBUTES: Final = frozenset(
+TRACEPARENT: Final = "traceparent"
+NS_PER_S: Final = 1e9
+MAX_VALUE_CHARS: Final = 120
+ALLOWED_ATTRIBUTES: Final = frozenset(
     {
         "account",
         "attempt",
@@ -92,26 +92,26 @@
         trace_id=format_trace_id(context.trace_id) if context else "-",
         span_id=format_span_id(context.span_id) if context else "-",
         parent=format_span_id(parent.span_id) if parent else "-",
-        duration_s=duration / NANOSECONDS,
+        duration_s=duration / NS_PER_S,
         **(span.attributes or {}),
     )
 
 
-def _context(traceparent: str) -> Context:
-    return _propagator.extract({HEADER: traceparent})
+def _extract_context(traceparent: str) -> Context:
+    return _propagator.extract({TRACEPARENT: traceparent})
 
 
-def _traceparent(context: Context) -> str:
+def _format_traceparent(context: Context) -> str:
     carrier: dict[str, str] = {}
     _propagator.inject(carrier, context)
-    return carrier.get(HEADER, "")
+    return carrier.get(TRACEPARENT, "")
 
 
-def _permitted(attributes: dict[str, Value]) -> dict[str, Value]:
+def _allowed(attributes: dict[str, Value]) -> dict[str, Value]:
     return {
-        name: value[:MAX_TEXT] if isinstance(value, str) else value
+        name: value[:MAX_VALUE_CHARS] if isinstance(value, str) else value
         for name, value in attributes.items()
-        if name in ATTRIBUTES
+        if name in ALLOWED_ATTRIBUTES
     }
 
 
@@ -120,12 +120,12 @@
 
     def __init__(self, span: Span) -> None:
         self._span = span
-        self.traceparent = _traceparent(set_span_in_context(span))
+        self.traceparent = _format_traceparent(set_span_in_context(span))
 
     def set(self, **attributes: Value) -> None:
         """Add attributes; see ``ATTRIBUTES`` for those that are kept."""
         if self._span.is_recording():
-            self._span.set_attributes(_permitted(attributes))
+            self._span.set_attributes(_allowed(attributes))
 
     def fail(self, failure: Failure) -> None:
         """Add the code and the verdict of a failure."""
@@ -150,17 +150,17 @@
         # Spans end on the thread that did the work and are written at once: a
         # batching exporter would lose the last spans of a killed process, just
         # those that one looks for.
-        self._ratio = TraceIdRatioBased(ratio)
+        self._sampler = TraceIdRatioBased(ratio)
         self._provider = TracerProvider(
-            ParentBased(self._ratio),
+            ParentBased(self._sampler),
             Resource({}),
             shutdown_on_exit=False,
-            span_limits=SpanLimits(max_span_attributes=len(ATTRIBUTES)),
+            span_limits=SpanLimits(max_span_attributes=len(ALLOWED_ATTRIBUTES)),
         )
         self._provider.add_span_processor(SimpleSpanProcessor(LogExporter()))
         self._tracer = self._provider.get_tracer("persimmonhitch")
 
-    def from_caller(self, traceparent: str) -> str:
+    def resample(self, traceparent: str) -> str:
         """Return the caller's ``traceparent`` with our own sampling decision.
 
         The trace id stays. The caller's sampled flag does not: a caller who
@@ -168,19 +168,19 @@
         log volume that grows with no change of ours. A value that cannot be
         read yields an empty text, and with it a new trace.
         """
-        context = get_current_span(_context(traceparent)).get_span_context()
-        if not context.is_valid:
+        ctx = get_current_span(_extract_context(traceparent)).get_span_context()
+        if not ctx.is_valid:
             return ""
-        result = self._ratio.should_sample(None, context.trace_id, HopName.ENTRY.value)
-        keep = result.decision is Decision.RECORD_AND_SAMPLE
-        flags = TraceFlags(TraceFlags.SAMPLED if keep else TraceFlags.DEFAULT)
-        own = SpanContext(context.trace_id, context.span_id, True, flags)
-        return _traceparent(set_span_in_context(NonRecordingSpan(own)))
+        result = self._sampler.should_sample(None, ctx.trace_id, HopName.ENTRY.value)
+        sampled = result.decision is Decision.RECORD_AND_SAMPLE
+        flags = TraceFlags(TraceFlags.SAMPLED if sampled else TraceFlags.DEFAULT)
+        span_context = SpanContext(ctx.trace_id, ctx.span_id, True, flags)
+        return _format_traceparent(set_span_in_context(NonRecordingSpan(span_context)))
 
-    def begin(self, name: HopName, traceparent: str, **attributes: Value) -> Hop:
+    def start(self, name: HopName, traceparent: str, **attributes: Value) -> Hop:
         """Open a span that one thread may begin and another end."""
         span = self._tracer.start_span(
-            name.value, _context(traceparent), attributes=_permitted(attributes)
+            name.value, _extract_context(traceparent), attributes=_allowed(attributes)
         )
         return Hop(span)
 
@@ -189,7 +189,7 @@
         self, name: HopName, traceparent: str, **attributes: Value
     ) -> Iterator[Hop]:
         """Open a span for the time of a ``with`` block."""
-        opened = self.begin(name, traceparent, **attributes)
+        opened = self.start(name, traceparent, **attributes)
         try:
             yield opened
         finally:
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -11,7 +11,7 @@
 from ..ids import Epoch, Model, Upstream
 from ..wire.link import Link
 from ..wire.messages import OrderDone
-from ..wire.placement import CopyState, Holdings
+from ..wire.placement import CopyState, Inventory
 
 SILENCE: Final = 10.0
 """Seconds without a link until an upstream's copies count as gone: longer than a
@@ -38,7 +38,7 @@
 
     info: SidecarInfo
     link: Link | None = None
-    holdings: Holdings | None = None
+    holdings: Inventory | None = None
     heard_at: float = 0.0
     fresh: bool = False
     """Holdings came over the link that is open now, not from an earlier life."""
@@ -82,7 +82,7 @@
             member.link = None
             member.orders.clear()
 
-    def heard(self, msg: Holdings, now: float) -> None:
+    def heard(self, msg: Inventory, now: float) -> None:
         """Take an upstream's holdings."""
         member = self.members.get(msg.upstream)
         if member is None:
@@ -134,7 +134,7 @@
         for member in self.members.values():
             if member.holdings is None or not member.current(epoch):
                 continue
-            for held in member.holdings.holdings:
+            for held in member.holdings.copies:
                 name = held.copy.name
                 total[name] = total.get(name, 0.0) + held.demand
         return total
@@ -143,14 +143,14 @@
 def _site(
     upstream: Upstream,
     member: Member,
-    holdings: Holdings,
+    holdings: Inventory,
     needs: Mapping[Model, ModelRequirement],
     silent: bool,
 ) -> PlacementTarget:
     copies: dict[Model, PlacedCopy] = {}
     old: dict[Model, PlacedCopy] = {}
     free = holdings.free
-    for held in holdings.holdings:
+    for held in holdings.copies:
         state = STATES.get(held.state)
         if state is None:
             continue
@@ -169,7 +169,7 @@
         zone=holdings.zone,
         capacity=holdings.capacity,
         free=max(0.0, free),
-        accepting=holdings.ready and not silent,
+        accepting=holdings.accepts_loads and not silent,
         draining=holdings.draining or member.info.draining,
         copies=copies,
         stale=old,
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -15,7 +15,7 @@
 from ..observe.logs import log
 from ..wire.link import Link
 from ..wire.messages import Order, OrderDone, Welcome
-from ..wire.placement import Action, Holdings, OrderError
+from ..wire.placement import Action, Inventory, OrderError
 from .fleet import FleetView, OpenOrder
 from .lease import LeaseKeeper
 from .links import Dialer, FromSidecar, LinkLost, LinkOpened
@@ -135,7 +135,7 @@
         log("sidecar_reached", upstream=upstream)
 
     @_from_sidecar.register
-    def _(self, msg: Holdings, upstream: Upstream) -> None:
+    def _(self, msg: Inventory, upstream: Upstream) -> None:
         if msg.upstream != upstream:
             log("holdings_of_another", upstream=upstream, named=msg.upstream)
             return
@@ -236,7 +236,7 @@
                 return move.model, None
             return base, Adapter(move.model)
         holdings = self._fleet.members[move.upstream].holdings
-        for held in () if holdings is None else holdings.holdings:
+        for held in () if holdings is None else holdings.copies:
             if held.copy.name == move.model:
                 return held.copy.model, held.copy.adapter
         return None, None
--- a/src/persimmonhitch/play/placement_scale.py
+++ b/src/persimmonhitch/play/placement_scale.py
@@ -11,7 +11,7 @@
 from ..planner.round import Rounds
 from ..wire.codec import encode
 from ..wire.messages import UpstreamKind
-from ..wire.placement import Copy, CopyState, Holding, Holdings
+from ..wire.placement import Copy, CopyState, CopyStatus, Inventory
 from .placement_fleet import Held
 from .placement_load import SPEED, Deployment, profiles
 from .placement_planners import Asked, Steady
@@ -67,9 +67,9 @@
     return 0
 
 
-def _holdings(index: int, models: int) -> Holdings:
+def _holdings(index: int, models: int) -> Inventory:
     held = tuple(
-        Holding(
+        CopyStatus(
             Copy(Model(f"model-{(index + step) % models}"), None, "r1"),
             CopyState.LOADED,
             16.0,
@@ -79,11 +79,11 @@
     )
     name = f"engine-{index}"
     vm, zone = Vm(f"vm-{index}"), Zone(f"zone-{index % 18}")
-    life, epoch = Incarnation("0" * 24), Epoch(7)
-    return Holdings(Upstream(name), vm, zone, life, epoch, 80.0, 0.0, True, False, held)
+    run, epoch = Incarnation("0" * 24), Epoch(7)
+    return Inventory(Upstream(name), vm, zone, run, epoch, 80.0, 0.0, True, False, held)
 
 
-def _info(msg: Holdings) -> SidecarInfo:
+def _info(msg: Inventory) -> SidecarInfo:
     return SidecarInfo(
         upstream=msg.upstream,
         vm=msg.vm,
@@ -94,7 +94,7 @@
         kind=UpstreamKind.ENGINE,
         service=Service(""),
         incarnation=msg.incarnation,
-        models=frozenset(held.copy.name for held in msg.holdings),
+        models=frozenset(held.copy.name for held in msg.copies),
         draining=False,
     )
 
--- a/src/persimmonhitch/play/sidecar.py
+++ b/src/persimmonhitch/play/sidecar.py
@@ -9,7 +9,7 @@
 from ..decide.admission import LoadView, ServiceRate, expected_service, max_queue_tokens
 from ..decide.fairness import QueuedRequest
 from ..ids import ConfigVersion, Incarnation, Model, RequestId, Upstream, Zone
-from ..wire.messages import Priority, Report
+from ..wire.messages import LoadReport, Priority
 from .calls import Call
 from .clock import Clock
 from .engine import EngineModel, Step, Stream
@@ -84,9 +84,9 @@
         self._pump()
         return True
 
-    def report(self) -> Report:
+    def report(self) -> LoadReport:
         """Return the load as it is now."""
-        return Report(
+        return LoadReport(
             upstream=self.name,
             incarnation=Incarnation("i"),
             models=tuple(self.models),
@@ -96,8 +96,8 @@
             queued=len(self._queue),
             queued_tokens=self._queue.tokens,
             token_rate=self._meter.rate,
-            first_token=self._limit.first_token_p95,
-            token_gap=self._limit.gap_p95,
+            first_token_s=self._limit.first_token_p95,
+            token_gap_s=self._limit.gap_p95,
             version=ConfigVersion(1),
         )
 
--- a/src/persimmonhitch/settings/load.py
+++ b/src/persimmonhitch/settings/load.py
@@ -55,22 +55,22 @@
     return field(default=default, metadata=metadata)
 
 
-def _bool(text: str) -> bool:
-    word = text.lower()
-    if word in TRUE_WORDS:
+def _parse_bool(text: str) -> bool:
+    lowered = text.lower()
+    if lowered in TRUE_WORDS:
         return True
-    if word in FALSE_WORDS:
+    if lowered in FALSE_WORDS:
         return False
     raise ValueError(text)
 
 
-def _words(text: str) -> tuple[str, ...]:
-    parts = (part.strip() for part in text.replace("\n", ",").split(","))
-    return tuple(part for part in parts if part)
+def _parse_list(text: str) -> tuple[str, ...]:
+    items = (item.strip() for item in text.replace("\n", ",").split(","))
+    return tuple(item for item in items if item)
 
 
-def _addresses(text: str) -> tuple[tuple[str, int], ...]:
-    pairs = [word.rpartition(":") for word in _words(text)]
+def _parse_addresses(text: str) -> tuple[tuple[str, int], ...]:
+    pairs = [item.rpartition(":") for item in _parse_list(text)]
     if not all(host and 0 < int(port) < 65536 for host, _, port in pairs):
         raise ValueError(text)
     return tuple((host, int(port)) for host, _, port in pairs)
@@ -80,35 +80,35 @@
     str: (str, "a text"),
     int: (int, "a whole number"),
     float: (float, "a number"),
-    bool: (_bool, "yes or no"),
-    tuple[str, ...]: (_words, "a list separated by commas"),
-    tuple[tuple[str, int], ...]: (_addresses, "a list of host:port with commas"),
+    bool: (_parse_bool, "yes or no"),
+    tuple[str, ...]: (_parse_list, "a list separated by commas"),
+    tuple[tuple[str, int], ...]: (_parse_addresses, "a list of host:port with commas"),
 }
 
 
-def _bounds(spec: Field[Any]) -> str:
+def _format_bounds(spec: Field[Any]) -> str:
     low, high = spec.metadata["low"], spec.metadata["high"]
     if low is None and high is None:
         return ""
     return f" from {low} to {high}" if high is not None else f" of at least {low}"
 
 
-def _within(spec: Field[Any], value: Any) -> bool:
+def _in_bounds(spec: Field[Any], value: Any) -> bool:
     low, high = spec.metadata["low"], spec.metadata["high"]
     if low is not None and not value >= low:
         return False
     return high is None or bool(value <= high)
 
 
-def _parse(kind: Any, spec: Field[Any], text: str) -> Result[Any, str]:
-    base = kind if kind in PARSERS else getattr(kind, "__supertype__", str)
-    parser, name = PARSERS[base]
-    expected = f"expected {name}{_bounds(spec)}, found {text!r}"
+def _parse_value(hint: Any, spec: Field[Any], text: str) -> Result[Any, str]:
+    parser_key = hint if hint in PARSERS else getattr(hint, "__supertype__", str)
+    parser, type_name = PARSERS[parser_key]
+    expected = f"expected {type_name}{_format_bounds(spec)}, found {text!r}"
     try:
         value = parser(text)
     except ValueError:
         return Err(expected)
-    return Success(value) if _within(spec, value) else Err(expected)
+    return Success(value) if _in_bounds(spec, value) else Err(expected)
 
 
 def _unknown(cls: type, ini: configparser.ConfigParser, file: str) -> Iterator[Mistake]:
@@ -147,7 +147,7 @@
             if spec.default is MISSING:
                 mistakes.append(Mistake(file, section, key, "missing, must be given"))
             continue
-        match _parse(hints[spec.name], spec, text.strip()):
+        match _parse_value(hints[spec.name], spec, text.strip()):
             case Success(value):
                 values[spec.name] = value
             case Err(expected):
@@ -172,6 +172,6 @@
     for spec in fields(cls):
         meta = spec.metadata
         default = "must be given" if spec.default is MISSING else f"`{spec.default}`"
-        help_text = f"{meta['help']}{_bounds(spec)}"
+        help_text = f"{meta['help']}{_format_bounds(spec)}"
         rows.append(f"| {meta['section']} | {meta['key']} | {default} | {help_text} |")
     return "\n".join(rows)
--- a/src/persimmonhitch/sidecar/copies.py
+++ b/src/persimmonhitch/sidecar/copies.py
@@ -12,7 +12,7 @@
 from ..verdict import ErrorCode, Failure
 from ..wire.link import Link
 from ..wire.messages import Order, Submit
-from ..wire.placement import Copy, Holdings
+from ..wire.placement import Copy, Inventory
 from .demand import DemandMeter
 from .engine_api import HttpEngine
 from .ledger import Ledger
@@ -84,11 +84,11 @@
         """Carry out an order; its end goes back over the link."""
         self._desk.submit(msg, link.send)
 
-    def holdings(self, incarnation: Incarnation, draining: bool) -> Holdings:
+    def holdings(self, incarnation: Incarnation, draining: bool) -> Inventory:
         """Return what is held, for the planner."""
         cfg = self._cfg
         capacity, free, ready, epoch = self._desk.memory()
-        return Holdings(
+        return Inventory(
             upstream=Upstream(cfg.upstream),
             vm=Vm(cfg.vm),
             zone=Zone(cfg.zone),
@@ -96,9 +96,9 @@
             epoch=epoch,
             capacity=capacity,
             free=free,
-            ready=ready,
+            accepts_loads=ready,
             draining=draining,
-            holdings=self._desk.holdings(self.demand.rates()),
+            copies=self._desk.holdings(self.demand.rates()),
         )
 
     def _changed(self) -> None:
--- a/src/persimmonhitch/sidecar/dispatch.py
+++ b/src/persimmonhitch/sidecar/dispatch.py
@@ -22,7 +22,15 @@
 from ..observe.traces import Traces
 from ..verdict import ErrorCode, Failure, Verdict
 from ..wire.link import Link
-from ..wire.messages import Buried, Bury, Cancel, Fail, Flow, Resume, Submit
+from ..wire.messages import (
+    Cancel,
+    Fail,
+    FlowControl,
+    Resume,
+    Submit,
+    Tombstone,
+    TombstoneReply,
+)
 from .job import Job, JobSpans
 from .load import LoadMeter
 from .seen import SeenRequests
@@ -162,7 +170,7 @@
             return Failure(ErrorCode.STALE_INCARNATION, reason, retry_after=0.1)
         if self._draining:
             return Failure(ErrorCode.SHUTTING_DOWN, "leaving", retry_after=0.1)
-        admission = admit(self._view(sub), sub.cost, sub.deadline, sub.priority)
+        admission = admit(self._view(sub), sub.cost, sub.timeout_s, sub.priority)
         if not isinstance(admission, Success):
             return admission.failure()
         admitted = self._seen.admit(sub.request, sub.attempt, sub.repeatable, now)
@@ -235,19 +243,19 @@
         elif job.submit.repeatable:
             job.cancelled.set()
 
-    def flow(self, msg: Flow) -> None:
+    def flow(self, msg: FlowControl) -> None:
         """Stop or go on reading an attempt's answer from the upstream."""
         job = self._jobs.get(msg.request)
         if job is None or job.submit.attempt != msg.attempt:
             return
-        if msg.go_on:
+        if msg.resume:
             job.flowing.set()
         else:
             job.flowing.clear()
 
-    def bury(self, msg: Bury, link: Link) -> None:
+    def bury(self, msg: Tombstone, link: Link) -> None:
         """Answer what is true of a request and keep it true."""
-        link.send(Buried(msg.request, self._bury(msg.request, msg.incarnation)))
+        link.send(TombstoneReply(msg.request, self._bury(msg.request, msg.incarnation)))
 
     def _bury(self, request: RequestId, incarnation: Incarnation) -> Verdict:
         if incarnation != self._incarnation:
--- a/src/persimmonhitch/sidecar/holdings.py
+++ b/src/persimmonhitch/sidecar/holdings.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-from ..wire.placement import Holdings
+from ..wire.placement import Inventory
 
 DEMAND_STEP: Final = 0.25
 DEMAND_LEAST: Final = 5.0
@@ -24,10 +24,10 @@
     """Decides whether holdings are news."""
 
     def __init__(self) -> None:
-        self._last: Holdings | None = None
+        self._last: Inventory | None = None
         self._told_at = 0.0
 
-    def due(self, msg: Holdings, now: float) -> bool:
+    def due(self, msg: Inventory, now: float) -> bool:
         """Return whether to tell now; if so it counts as told."""
         last, elapsed = self._last, now - self._told_at
         news = (
@@ -41,13 +41,13 @@
         return news
 
 
-def _state(msg: Holdings) -> Told:
-    held = tuple((h.copy, h.state, h.memory) for h in msg.holdings)
-    return msg.epoch, msg.free, msg.ready, msg.draining, held
+def _state(msg: Inventory) -> Told:
+    held = tuple((h.copy, h.state, h.memory) for h in msg.copies)
+    return msg.epoch, msg.free, msg.accepts_loads, msg.draining, held
 
 
-def _demand_moved(old: Holdings, new: Holdings) -> bool:
-    pairs = zip(old.holdings, new.holdings, strict=False)
+def _demand_moved(old: Inventory, new: Inventory) -> bool:
+    pairs = zip(old.copies, new.copies, strict=False)
     return any(_moved(a.demand, b.demand) for a, b in pairs)
 
 
--- a/src/persimmonhitch/sidecar/job.py
+++ b/src/persimmonhitch/sidecar/job.py
@@ -21,16 +21,16 @@
 
     def __init__(self, traces: Traces, sub: Submit) -> None:
         self._traces = traces
-        self._all = traces.begin(
+        self._all = traces.start(
             HopName.SIDECAR, sub.traceparent, request=sub.request, attempt=sub.attempt
         )
-        self._wait = traces.begin(HopName.QUEUE, self._all.traceparent)
+        self._wait = traces.start(HopName.QUEUE, self._all.traceparent)
         self._call: Hop | None = None
 
     def call(self) -> str:
         """Note the start of the call; return the ``traceparent`` to send on."""
         self._wait.end()
-        self._call = self._traces.begin(HopName.UPSTREAM, self._all.traceparent)
+        self._call = self._traces.start(HopName.UPSTREAM, self._all.traceparent)
         return self._call.traceparent
 
     def end(self, exc: Failure | None) -> None:
@@ -71,7 +71,7 @@
     @property
     def deadline_at(self) -> float:
         """Return the time on this VM's clock by which it must have ended."""
-        return self.arrived_at + self.submit.deadline
+        return self.arrived_at + self.submit.timeout_s
 
     def head(self, status: int, headers: dict[str, str]) -> None:
         """Send the head of the answer."""
@@ -130,7 +130,7 @@
 
 def _is_missing(frame: Frame, msg: Resume) -> bool:
     if isinstance(frame, Head):
-        return not msg.have_head
+        return not msg.head_received
     if isinstance(frame, Chunk):
         return frame.seq >= msg.next_chunk
     return True
--- a/src/persimmonhitch/sidecar/orders.py
+++ b/src/persimmonhitch/sidecar/orders.py
@@ -14,7 +14,7 @@
 from ..ids import Epoch, Model
 from ..observe.logs import log
 from ..wire.messages import Order, OrderDone
-from ..wire.placement import Action, Copy, Holding, OrderError
+from ..wire.placement import Action, Copy, CopyStatus, OrderError
 from .engine_api import EngineApi, Silence
 from .ledger import Answer, Begin, Ledger
 
@@ -92,13 +92,13 @@
         with self._lock:
             return () if self._gone else self._ledger.serving()
 
-    def holdings(self, demand: dict[Model, float]) -> tuple[Holding, ...]:
+    def holdings(self, demand: dict[Model, float]) -> tuple[CopyStatus, ...]:
         """Return every copy with its state, memory and demand."""
         with self._lock:
             entries = [] if self._gone else self._ledger.entries()
         served: Counter[Model] = Counter(c.name for c, _, _ in entries)
         return tuple(
-            Holding(c, s, m, demand.get(c.name, 0.0) / served[c.name])
+            CopyStatus(c, s, m, demand.get(c.name, 0.0) / served[c.name])
             for c, s, m in entries
         )
 
@@ -172,7 +172,7 @@
         if order.action == Action.FENCE.value:
             return None if self.see_epoch(order.epoch) else OrderError.STALE_EPOCH
         if order.action == Action.LOAD.value:
-            return self._load(copy, order.memory, order.epoch)
+            return self._load(copy, order.memory_gib, order.epoch)
         if order.action == Action.UNLOAD.value:
             return self._unload(copy, order.epoch)
         return OrderError.BAD_ACTION
--- a/src/persimmonhitch/sidecar/server.py
+++ b/src/persimmonhitch/sidecar/server.py
@@ -14,16 +14,16 @@
 from ..wire.link import Link, LinkServer
 from ..wire.messages import (
     PROTOCOL,
-    Bury,
     Cancel,
     Fail,
-    Flow,
+    FlowControl,
     Hello,
+    LoadReport,
     Order,
-    Report,
     Resume,
     Role,
     Submit,
+    Tombstone,
     UpstreamKind,
     Welcome,
 )
@@ -127,7 +127,7 @@
         with self._lock:
             refusal = self._heard.refusal(msg.version, time.monotonic())
             refusal = refusal or self._revoked.refusal(
-                msg.account, msg.giver, msg.generation
+                msg.account, msg.lender, msg.generation
             )
         if refusal is not None:
             link.send(Fail.from_failure(msg.request, msg.attempt, refusal))
@@ -163,11 +163,11 @@
         self._dispatcher.cancel.defer(msg)
 
     @take.register
-    def _(self, msg: Flow, link: Link) -> None:
+    def _(self, msg: FlowControl, link: Link) -> None:
         self._dispatcher.flow.defer(msg)
 
     @take.register
-    def _(self, msg: Bury, link: Link) -> None:
+    def _(self, msg: Tombstone, link: Link) -> None:
         self._dispatcher.bury.defer(msg, link)
 
     @take.register
@@ -200,7 +200,7 @@
     def report(self) -> None:
         """Send a load report on every link now."""
         load, meter = self._dispatcher.load().get(), self._meter
-        msg = Report(
+        msg = LoadReport(
             upstream=Upstream(self._cfg.upstream),
             incarnation=self._incarnation,
             models=self.models,
@@ -210,8 +210,8 @@
             queued=load.queued,
             queued_tokens=load.queued_tokens,
             token_rate=meter.service_rate,
-            first_token=meter.first_token_p95,
-            token_gap=meter.gap_p95,
+            first_token_s=meter.first_token_p95,
+            token_gap_s=meter.gap_p95,
             version=self.version,
         )
         with self._lock:
--- a/src/persimmonhitch/slopes/codec.py
+++ b/src/persimmonhitch/slopes/codec.py
@@ -20,17 +20,17 @@
     new_request_id,
 )
 from ..wire.codec import decode, encode
-from ..wire.messages import PROTOCOL, Chunk, Hello, Priority, Report, Role, Submit
+from ..wire.messages import PROTOCOL, Chunk, Hello, LoadReport, Priority, Role, Submit
 from .base import MICRO, SLOPES, Reading, Slope, seconds_each
 
 LIFE: Final[Incarnation] = new_incarnation()
 VERSION: Final = ConfigVersion(123_456)
 
 
-def report(models: int) -> Report:
+def report(models: int) -> LoadReport:
     """Return a load report of an upstream that holds so many models."""
     names = tuple(Model(f"model-{number:05d}") for number in range(models))
-    return Report(
+    return LoadReport(
         upstream=Upstream("engine-01234"),
         incarnation=LIFE,
         models=names,
@@ -40,8 +40,8 @@
         queued=3,
         queued_tokens=1234.5,
         token_rate=165.4,
-        first_token=0.412,
-        token_gap=0.0412,
+        first_token_s=0.412,
+        token_gap_s=0.0412,
         version=VERSION,
     )
 
@@ -57,7 +57,7 @@
         adapter=None,
         version=VERSION,
         priority=Priority.INTERACTIVE,
-        deadline=30.0,
+        timeout_s=30.0,
         repeatable=True,
         method="POST",
         path="/v1/chat/completions",
@@ -66,7 +66,7 @@
         cost=Tokens(400.0),
         traceparent=f"00-{'a' * 32}-{'b' * 16}-01",
         weight=1.0,
-        giver=Vm("entry-0123"),
+        lender=Vm("entry-0123"),
         generation=17,
     )
 
--- a/src/persimmonhitch/slopes/links.py
+++ b/src/persimmonhitch/slopes/links.py
@@ -16,7 +16,7 @@
 from websockets.asyncio.server import Server, ServerConnection, serve
 
 from ..wire.link import Link, LinkServer, open_link
-from ..wire.loop import call, link_loop
+from ..wire.loop import link_loop, run_on_loop
 from .base import SLOPES, Reading, Slope, resident, tcp_traffic
 from .codec import hello, report
 
@@ -108,13 +108,13 @@
 
 def run_one_ping(sizes: Sequence[int]) -> Iterator[Reading]:
     """Measure idle connections on which only the opener sends heartbeats."""
-    server = call(_serve())
+    server = run_on_loop(_serve())
     port = next(iter(server.sockets)).getsockname()[1]
 
     def stop() -> None:
         link_loop().call_soon_threadsafe(server.close)
 
-    yield from _measure(sizes, lambda: call(_open_one_ping(port)), stop)
+    yield from _measure(sizes, lambda: run_on_loop(_open_one_ping(port)), stop)
 
 
 def _measure(
--- a/src/persimmonhitch/slopes/scrape.py
+++ b/src/persimmonhitch/slopes/scrape.py
@@ -14,7 +14,7 @@
 
 def _request(metrics: Metrics, account: Account) -> None:
     metrics.request_started("chat")
-    metrics.queued(account, 0.01)
+    metrics.queue_time(account, 0.01)
     metrics.first_token(account, 0.3)
     metrics.tokens_used(account, 400.0)
     metrics.request_done(account, "chat", 200, None, 2.0)
--- a/src/persimmonhitch/web/http.py
+++ b/src/persimmonhitch/web/http.py
@@ -16,12 +16,12 @@
 Environ = dict[str, Any]
 StartResponse = Callable[..., Any]
 
-MAX_BODY: Final = 4 * 1024 * 1024
+MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 """Bytes of a caller's body; a prompt of a million tokens is about this long."""
-HEADER_PREFIX: Final = "HTTP_"
+ENVIRON_HEADER_PREFIX: Final = "HTTP_"
 
 
-def _always_connected() -> bool:
+def _not_disconnected() -> bool:
     return False
 
 
@@ -34,7 +34,7 @@
     query: str
     headers: dict[str, str]
     body: bytes
-    disconnected: Callable[[], bool] = _always_connected
+    disconnected: Callable[[], bool] = _not_disconnected
     target: str = ""
     """Path and query as the caller sent them, to be passed on unchanged."""
 
@@ -49,44 +49,44 @@
 
     def send(self, start_response: StartResponse) -> Body:
         """Start the answer and return its body."""
-        reason = HTTPStatus(self.status).phrase if self.status in _KNOWN else "Other"
+        reason = HTTPStatus(self.status).phrase if self.status in _STATUSES else "Other"
         start_response(f"{self.status} {reason}", list(self.headers.items()))
         return self.body
 
 
-_KNOWN: Final = frozenset(int(status) for status in HTTPStatus)
+_STATUSES: Final = frozenset(int(status) for status in HTTPStatus)
 
 
 def json_answer(status: int, value: Any, **headers: str) -> Answer:
     """Return an answer whose body is ``value`` as JSON."""
     data = json.dumps(value).encode()
-    base = {"Content-Type": "application/json", "Content-Length": str(len(data))}
+    standard = {"Content-Type": "application/json", "Content-Length": str(len(data))}
     extra = {name.replace("_", "-"): text for name, text in headers.items()}
-    return Answer(status, {**base, **extra}, [data])
+    return Answer(status, {**standard, **extra}, [data])
 
 
 def _headers(environ: Environ) -> dict[str, str]:
-    found = {
-        name[len(HEADER_PREFIX) :].replace("_", "-").lower(): str(value)
+    headers = {
+        name[len(ENVIRON_HEADER_PREFIX) :].replace("_", "-").lower(): str(value)
         for name, value in environ.items()
-        if name.startswith(HEADER_PREFIX)
+        if name.startswith(ENVIRON_HEADER_PREFIX)
     }
     if environ.get("CONTENT_TYPE"):
-        found["content-type"] = environ["CONTENT_TYPE"]
-    return found
+        headers["content-type"] = environ["CONTENT_TYPE"]
+    return headers
 
 
 def read_request(environ: Environ) -> Result[Request, Failure]:
     """Return the request of a WSGI environment, its body read whole."""
     length = int(environ.get("CONTENT_LENGTH") or 0)
-    if length > MAX_BODY:
+    if length > MAX_BODY_BYTES:
         return Err(
-            Failure(ErrorCode.TOO_LARGE, f"a body holds at most {MAX_BODY} bytes")
+            Failure(ErrorCode.TOO_LARGE, f"a body holds at most {MAX_BODY_BYTES} bytes")
         )
-    body = environ["wsgi.input"].read(MAX_BODY + 1)
-    if len(body) > MAX_BODY:
+    body = environ["wsgi.input"].read(MAX_BODY_BYTES + 1)
+    if len(body) > MAX_BODY_BYTES:
         return Err(
-            Failure(ErrorCode.TOO_LARGE, f"a body holds at most {MAX_BODY} bytes")
+            Failure(ErrorCode.TOO_LARGE, f"a body holds at most {MAX_BODY_BYTES} bytes")
         )
     return Success(
         Request(
@@ -96,7 +96,7 @@
             query=environ.get("QUERY_STRING", ""),
             headers=_headers(environ),
             body=body,
-            disconnected=environ.get("waitress.client_disconnected", _always_connected),
+            disconnected=environ.get("waitress.client_disconnected", _not_disconnected),
             target=environ.get("REQUEST_URI", ""),
         )
     )
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -13,24 +13,24 @@
 from waitress.channel import HTTPChannel
 from waitress.task import ErrorTask, ThreadedTaskDispatcher, WSGITask
 
-from .http import MAX_BODY, Answer, Body, Environ, StartResponse, json_answer
+from .http import MAX_BODY_BYTES, Answer, Body, Environ, StartResponse, json_answer
 
 # What it would say of broken answers and of its queue is in our own logs, by request.
 logging.getLogger("waitress").setLevel(logging.CRITICAL)
 
 App = Callable[[Environ, StartResponse], Body]
-Refusal = Callable[[int], Answer]
+RefusalBuilder = Callable[[int], Answer]
 """Makes the answer to a request that the server refuses with a status by itself."""
 
 INTERNAL_SOCKETS: Final = 2
 """The listener and the wake-up pipe, which waitress counts as connections."""
-MOST_UNSENT: Final = 256 * 1024
+MAX_UNSENT_BYTES: Final = 256 * 1024
 """Bytes of an answer that wait for a slow reader."""
-LOOKAHEAD: Final = 1
+REQUEST_LOOKAHEAD: Final = 1
 """Requests read ahead on a connection; without it a client's leave goes unseen."""
-IDLE_CONNS: Final = 2000
+MAX_IDLE_CONNS: Final = 2000
 """Connections beside those in use; half of a small VM's descriptors."""
-POLL: Final = 0.02
+POLL_INTERVAL_S: Final = 0.02
 """Seconds between two looks at whether a stop has finished."""
 
 
@@ -50,13 +50,13 @@
         # A chunked answer has an end of its own; the library closes after it all the
         # same, and each caller of a stream would connect anew for its next request.
         chunked = self.chunked_response and self.version == "1.1"
-        wish = self.request.headers.get("CONNECTION", "").lower()
-        if self.channel.server.keep_streams and chunked and wish != "close":
+        requested = self.request.headers.get("CONNECTION", "").lower()
+        if self.channel.server.keep_streams and chunked and requested != "close":
             return
         super().set_close_on_finish()
 
     def build_response_header(self) -> Any:
-        if self.channel.server.leaving:
+        if self.channel.server.keep_alive_disabled:
             self.request.headers["CONNECTION"] = "close"
         return super().build_response_header()
 
@@ -90,16 +90,16 @@
             self.server.pull_trigger()
 
 
-class _ThreadsOnDemand(ThreadedTaskDispatcher):  # type: ignore[misc]
+class _OnDemandDispatcher(ThreadedTaskDispatcher):  # type: ignore[misc]
     """Starts a thread when a request finds none idle, up to a limit.
 
     Threads that wait for requests that never come cost a process its start and its
     memory.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_threads: int) -> None:
         super().__init__()
-        self._most = most
+        self._max_threads = max_threads
 
     def add_task(self, task: Any) -> None:
         """Queue a request for the next thread that is free."""
@@ -107,11 +107,11 @@
             self.queue.append(task)
             running = len(self.threads) - self.stop_count
             idle = running - self.active_count
-            if len(self.queue) > idle and running < self._most:
-                self._start_one()
+            if len(self.queue) > idle and running < self._max_threads:
+                self._start_thread()
             self.queue_cv.notify()
 
-    def _start_one(self) -> None:
+    def _start_thread(self) -> None:
         number = next(n for n in itertools.count() if n not in self.threads)
         self.threads.add(number)
         self.active_count += 1
@@ -134,32 +134,32 @@
         host: str,
         port: int,
         threads: int,
-        refusal: Refusal = _plain_refusal,
+        refusal: RefusalBuilder = _plain_refusal,
         keep_streams: bool = False,
     ) -> None:
         # Idle connections take no thread; where callers keep many, they must not
         # keep out new ones.
-        conns = IDLE_CONNS + threads if keep_streams else threads
+        conns = MAX_IDLE_CONNS + threads if keep_streams else threads
         self._server: Any = waitress.create_server(
             app,
             host=host,
             port=port,
-            _dispatcher=_ThreadsOnDemand(threads),
+            _dispatcher=_OnDemandDispatcher(threads),
             threads=threads,
             connection_limit=conns + INTERNAL_SOCKETS,
-            channel_request_lookahead=LOOKAHEAD,
-            max_request_body_size=MAX_BODY,
+            channel_request_lookahead=REQUEST_LOOKAHEAD,
+            max_request_body_size=MAX_BODY_BYTES,
             clear_untrusted_proxy_headers=True,
             # VMs have no disks: bodies stay in memory, and a slow reader stops its
             # own thread long before its answer would overflow into a file.
-            inbuf_overflow=2 * MAX_BODY,
-            outbuf_high_watermark=MOST_UNSENT,
+            inbuf_overflow=2 * MAX_BODY_BYTES,
+            outbuf_high_watermark=MAX_UNSENT_BYTES,
             # With select() the loop ends at the first descriptor of 1,024 or more.
             asyncore_use_poll=True,
             ident=None,
         )
         self._server.channel_class = _Channel
-        self._server.leaving = False
+        self._server.keep_alive_disabled = False
         self._server.closing_idle = False
         self._server.keep_streams = keep_streams
         self._server.refusal = refusal
@@ -176,9 +176,9 @@
         """Serve from now on."""
         self._thread.start()
 
-    def leave(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection after its present request from now on."""
-        self._server.leaving = True
+        self._server.keep_alive_disabled = True
 
     def stop_listening(self) -> None:
         """Close the listener; open connections go on.
@@ -210,17 +210,17 @@
 
         self._server.trigger.pull_trigger(close_all)
 
-    def busy(self) -> int:
+    def busy_conns(self) -> int:
         """Return how many connections have a request or unsent bytes."""
         channels = list(self._server.active_channels.values())
         return sum(1 for c in channels if c.requests or c.total_outbufs_len)
 
-    def drain(self, limit: float, forced: threading.Event) -> int:
+    def drain(self, timeout_s: float, forced: threading.Event) -> int:
         """Wait until no request is left; return how many are cut at the limit."""
-        end = time.monotonic() + limit
-        while self.busy() and time.monotonic() < end and not forced.is_set():
-            forced.wait(POLL)
-        return self.busy()
+        deadline = time.monotonic() + timeout_s
+        while self.busy_conns() and time.monotonic() < deadline and not forced.is_set():
+            forced.wait(POLL_INTERVAL_S)
+        return self.busy_conns()
 
     def close(self) -> None:
         """End everything that is left."""
--- a/src/persimmonhitch/wire/auth.py
+++ b/src/persimmonhitch/wire/auth.py
@@ -6,27 +6,27 @@
 from typing import Final
 
 HEADER: Final = "Link-Proof"
-MAX_SKEW: Final = 300.0
+MAX_CLOCK_SKEW_S: Final = 300.0
 """Seconds between the clocks of two VMs that are still accepted."""
 
 
-def _digest(secret: bytes, stamp: str, nonce: str) -> str:
-    text = f"{stamp}.{nonce}".encode()
+def _digest(secret: bytes, timestamp: str, nonce: str) -> str:
+    text = f"{timestamp}.{nonce}".encode()
     return hmac.new(secret, text, hashlib.sha256).hexdigest()
 
 
-def sign(secret: bytes, now: float) -> str:
+def sign(secret: bytes, wall_time: float) -> str:
     """Return the header's value for a link opened at wall time ``now``."""
-    stamp, nonce = str(int(now)), secrets.token_hex(8)
-    return f"{stamp}.{nonce}.{_digest(secret, stamp, nonce)}"
+    timestamp, nonce = str(int(wall_time)), secrets.token_hex(8)
+    return f"{timestamp}.{nonce}.{_digest(secret, timestamp, nonce)}"
 
 
-def verify(secret: bytes, value: str, now: float) -> bool:
+def verify(secret: bytes, proof: str, wall_time: float) -> bool:
     """Return whether the header's value proves the secret."""
-    parts = value.split(".")
+    parts = proof.split(".")
     if len(parts) != 3 or not parts[0].isdigit():
         return False
-    stamp, nonce, digest = parts
-    if abs(now - int(stamp)) > MAX_SKEW:
+    timestamp, nonce, digest = parts
+    if abs(wall_time - int(timestamp)) > MAX_CLOCK_SKEW_S:
         return False
-    return hmac.compare_digest(digest, _digest(secret, stamp, nonce))
+    return hmac.compare_digest(digest, _digest(secret, timestamp, nonce))
--- a/src/persimmonhitch/wire/codec.py
+++ b/src/persimmonhitch/wire/codec.py
@@ -11,31 +11,31 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-Check = Callable[[Any], Any]
+Converter = Callable[[Any], Any]
 M = TypeVar("M", bound=type)
 
-MAX_FRAME: Final = 8 * 1024 * 1024
+MAX_FRAME_BYTES: Final = 8 * 1024 * 1024
 """Bytes of one frame: a body of 4 MiB with room for headers and batching."""
 
-_kinds: dict[int, type] = {}
-_numbers: dict[type, int] = {}
+_types_by_number: dict[int, type] = {}
+_numbers_by_type: dict[type, int] = {}
 
 
-class BadFrame(ValueError):
+class FrameError(ValueError):
     """A frame does not hold what its kind demands."""
 
 
 def message(number: int) -> Callable[[M], M]:
     """Return a decorator that enters a dataclass as a message kind."""
 
-    def enter(cls: M) -> M:
-        if number in _kinds:
+    def register(cls: M) -> M:
+        if number in _types_by_number:
             raise ValueError(f"message number {number} is taken")
-        _kinds[number] = cls
-        _numbers[cls] = number
+        _types_by_number[number] = cls
+        _numbers_by_type[cls] = number
         return cls
 
-    return enter
+    return register
 
 
 def _pack(value: Any) -> Any:
@@ -52,76 +52,76 @@
 
 def encode(msg: Any) -> bytes:
     """Return the frame for a message."""
-    return cbor2.dumps([_numbers[type(msg)], *_pack(msg)])
+    return cbor2.dumps([_numbers_by_type[type(msg)], *_pack(msg)])
 
 
-def _scalar(kind: type) -> Check:
-    def check(value: Any) -> Any:
+def _scalar(kind: type) -> Converter:
+    def convert(value: Any) -> Any:
         if kind is float and type(value) is int:
             return float(value)
         if type(value) is not kind:
-            raise BadFrame(f"expected {kind.__name__}, found {type(value).__name__}")
+            raise FrameError(f"expected {kind.__name__}, found {type(value).__name__}")
         return value
 
-    return check
+    return convert
 
 
-def _enum(kind: type[Enum]) -> Check:
-    def check(value: Any) -> Any:
+def _enum(kind: type[Enum]) -> Converter:
+    def convert(value: Any) -> Any:
         try:
             return kind(value)
         except ValueError as exc:
-            raise BadFrame(str(exc)) from exc
+            raise FrameError(str(exc)) from exc
 
-    return check
+    return convert
 
 
-def _optional(inner: Check) -> Check:
+def _optional(inner: Converter) -> Converter:
     return lambda value: None if value is None else inner(value)
 
 
-def _sequence(inner: Check) -> Check:
-    def check(value: Any) -> Any:
+def _sequence(inner: Converter) -> Converter:
+    def convert(value: Any) -> Any:
         if type(value) is not list:
-            raise BadFrame(f"expected a list, found {type(value).__name__}")
+            raise FrameError(f"expected a list, found {type(value).__name__}")
         return tuple(inner(item) for item in value)
 
-    return check
+    return convert
 
 
-def _mapping(of_key: Check, of_value: Check) -> Check:
-    def check(value: Any) -> Any:
+def _mapping(convert_key: Converter, convert_value: Converter) -> Converter:
+    def convert(value: Any) -> Any:
         if type(value) is not dict:
-            raise BadFrame(f"expected a map, found {type(value).__name__}")
-        return {of_key(key): of_value(item) for key, item in value.items()}
+            raise FrameError(f"expected a map, found {type(value).__name__}")
+        return {convert_key(key): convert_value(item) for key, item in value.items()}
 
-    return check
+    return convert
 
 
-def _record(cls: type) -> Check:
+def _record(cls: type) -> Converter:
     hints = get_type_hints(cls)
-    checks = [_check_for(hints[spec.name]) for spec in fields(cls)]
+    converters = [_converter_for(hints[spec.name]) for spec in fields(cls)]
 
-    def check(value: Any) -> Any:
-        if type(value) is not list or len(value) != len(checks):
-            raise BadFrame(f"wrong number of fields for {cls.__name__}")
-        parts = (inner(item) for inner, item in zip(checks, value, strict=True))
+    def convert(value: Any) -> Any:
+        if type(value) is not list or len(value) != len(converters):
+            raise FrameError(f"wrong number of fields for {cls.__name__}")
+        parts = (inner(item) for inner, item in zip(converters, value, strict=True))
         return cls(*parts)
 
-    return check
+    return convert
 
 
 @cache
-def _check_for(hint: Any) -> Check:
+def _converter_for(hint: Any) -> Converter:
     hint = getattr(hint, "__supertype__", hint)
     origin, args = get_origin(hint), get_args(hint)
     if origin in (Union, types.UnionType):
         (inner,) = (arg for arg in args if arg is not type(None))
-        return _optional(_check_for(inner))
+        return _optional(_converter_for(inner))
     if origin is tuple:
-        return _sequence(_check_for(args[0]))
+        return _sequence(_converter_for(args[0]))
     if origin is dict:
-        return _mapping(_check_for(args[0]), _check_for(args[1]))
+        return _mapping(_converter_for(args[0]), _converter_for(args[1]))
     if not isinstance(hint, type):
         raise TypeError(f"no wire form for {hint!r}")
     if is_dataclass(hint):
@@ -138,7 +138,7 @@
     version or a faulty one yields an error here and not somewhere deep in a
     state machine.
     """
-    if len(frame) > MAX_FRAME:
+    if len(frame) > MAX_FRAME_BYTES:
         return Err(f"frame of {len(frame)} bytes")
     try:
         parts = cbor2.loads(frame)
@@ -146,10 +146,10 @@
         return Err(f"not CBOR: {type(exc).__name__}")
     if type(parts) is not list or not parts or type(parts[0]) is not int:
         return Err("not a list that starts with a kind")
-    cls = _kinds.get(parts[0])
+    cls = _types_by_number.get(parts[0])
     if cls is None:
         return Err(f"unknown kind {parts[0]}")
     try:
-        return Success(_check_for(cls)(parts[1:]))
-    except (BadFrame, TypeError, ValueError) as exc:
+        return Success(_converter_for(cls)(parts[1:]))
+    except (FrameError, TypeError, ValueError) as exc:
         return Err(f"{cls.__name__}: {exc}")
--- a/src/persimmonhitch/wire/link.py
+++ b/src/persimmonhitch/wire/link.py
@@ -23,16 +23,16 @@
 
 from ..observe.logs import log
 from . import auth
-from .codec import MAX_FRAME, decode, encode
-from .loop import call, link_loop
+from .codec import MAX_FRAME_BYTES, decode, encode
+from .loop import link_loop, run_on_loop
 
-PING_INTERVAL: Final = 2.0
-PING_TIMEOUT: Final = 4.0
+PING_INTERVAL_S: Final = 2.0
+PING_TIMEOUT_S: Final = 4.0
 """Seconds; a frozen or cut-off peer is noticed after at most 6."""
-OPEN_TIMEOUT: Final = 2.0
-CLOSE_TIMEOUT: Final = 1.0
-POLICY_VIOLATION: Final = 1008
-MOST_UNSENT: Final = 16 * 1024 * 1024
+OPEN_TIMEOUT_S: Final = 2.0
+CLOSE_TIMEOUT_S: Final = 1.0
+CLOSE_POLICY_VIOLATION: Final = 1008
+MAX_UNSENT_BYTES: Final = 16 * 1024 * 1024
 """Bytes that wait for a slow peer; two frames of the largest size."""
 
 
@@ -59,7 +59,7 @@
         self.ended = threading.Event()
         self._unsent: deque[bytes] = deque()
         self._unsent_bytes = 0
-        self._wake = asyncio.Event()
+        self._frames_queued = asyncio.Event()
         self._lock = threading.Lock()
 
     def send(self, msg: Any) -> bool:
@@ -78,13 +78,13 @@
             idle = not self._unsent
             self._unsent.append(frame)
             self._unsent_bytes += len(frame)
-            full = self._unsent_bytes > MOST_UNSENT
+            full = self._unsent_bytes > MAX_UNSENT_BYTES
         if full:
-            log("link_full", peer=self.peer, limit=MOST_UNSENT)
+            log("link_full", peer=self.peer, limit=MAX_UNSENT_BYTES)
             self.abort()
             return False
         if idle:
-            link_loop().call_soon_threadsafe(self._wake.set)
+            link_loop().call_soon_threadsafe(self._frames_queued.set)
         return True
 
     def close(self) -> None:
@@ -96,11 +96,11 @@
         link_loop().call_soon_threadsafe(self._conn.transport.abort)
 
     async def _close(self) -> None:
-        for frame in self._take_unsent():
+        for frame in self._pop_unsent():
             await self._conn.send(frame)
         await self._conn.close()
 
-    def _take_unsent(self) -> list[bytes]:
+    def _pop_unsent(self) -> list[bytes]:
         with self._lock:
             frames = list(self._unsent)
             self._unsent.clear()
@@ -112,33 +112,33 @@
         writer = asyncio.create_task(self._write())
         try:
             async for frame in self._conn:
-                if not self._take(handler, frame):
+                if not self._dispatch(handler, frame):
                     break
         except (WebSocketException, OSError) as exc:
             log("link_lost", peer=self.peer, error=repr(exc))
         finally:
             writer.cancel()
             self.ended.set()
-            self._tell_end(handler)
+            self._notify_closed(handler)
 
     async def _write(self) -> None:
         try:
             while True:
-                await self._wake.wait()
-                self._wake.clear()
-                for frame in self._take_unsent():
+                await self._frames_queued.wait()
+                self._frames_queued.clear()
+                for frame in self._pop_unsent():
                     await self._conn.send(frame)
         except (WebSocketException, OSError):
             self._conn.transport.abort()
 
-    def _take(self, handler: LinkHandler, frame: str | bytes) -> bool:
+    def _dispatch(self, handler: LinkHandler, frame: str | bytes) -> bool:
         # A frame that cannot be read means that the two sides disagree on the
         # protocol: everything after it is in doubt, so the link ends and its
         # requests get their verdicts. It shows as link_refused in the logs.
-        text = isinstance(frame, str)
+        is_text = isinstance(frame, str)
         result = decode(frame.encode() if isinstance(frame, str) else frame)
-        if text or not isinstance(result, Success):
-            self._refuse("text frame" if text else result.failure())
+        if is_text or not isinstance(result, Success):
+            self._refuse("text frame" if is_text else result.failure())
             return False
         try:
             handler.on_message(self, result.unwrap())
@@ -151,10 +151,10 @@
 
     def _refuse(self, reason: str) -> None:
         log("link_refused", peer=self.peer, error=reason)
-        closing = self._conn.close(POLICY_VIOLATION, reason[:100])
+        closing = self._conn.close(CLOSE_POLICY_VIOLATION, reason[:100])
         asyncio.run_coroutine_threadsafe(closing, link_loop())
 
-    def _tell_end(self, handler: LinkHandler) -> None:
+    def _notify_closed(self, handler: LinkHandler) -> None:
         try:
             handler.on_close(self)
         except Exception as exc:
@@ -162,14 +162,14 @@
 
 
 def open_link(
-    host: str, port: int, secret: bytes, handler: LinkHandler, first: Any
+    host: str, port: int, secret: bytes, handler: LinkHandler, first_message: Any
 ) -> Result[Link, Exception]:
     """Open a link, send ``first`` on it and read it from then on."""
     try:
-        link = call(_open(host, port, secret, handler))
+        link = run_on_loop(_open(host, port, secret, handler))
     except (WebSocketException, OSError, TimeoutError) as exc:
         return Err(exc)
-    link.send(first)
+    link.send(first_message)
     return Success(link)
 
 
@@ -177,23 +177,23 @@
     conn = await connect(
         f"ws://{host}:{port}/link",
         additional_headers={auth.HEADER: auth.sign(secret, time.time())},
-        open_timeout=OPEN_TIMEOUT,
-        close_timeout=CLOSE_TIMEOUT,
-        ping_interval=PING_INTERVAL,
-        ping_timeout=PING_TIMEOUT,
-        max_size=MAX_FRAME,
+        open_timeout=OPEN_TIMEOUT_S,
+        close_timeout=CLOSE_TIMEOUT_S,
+        ping_interval=PING_INTERVAL_S,
+        ping_timeout=PING_TIMEOUT_S,
+        max_size=MAX_FRAME_BYTES,
         compression=None,
         proxy=None,
     )
     link = Link(conn, f"{host}:{port}")
-    _keep(asyncio.create_task(link.run(handler)))
+    _retain(asyncio.create_task(link.run(handler)))
     return link
 
 
 _tasks: Final[set[asyncio.Task[None]]] = set()
 
 
-def _keep(task: asyncio.Task[None]) -> None:
+def _retain(task: asyncio.Task[None]) -> None:
     # The loop itself holds tasks weakly; without this a link's reader could be
     # collected in the middle, seen as a link that goes silent.
     _tasks.add(task)
@@ -208,7 +208,7 @@
     ) -> None:
         self._secret = secret
         self._accept = accept
-        self._server: Server = call(self._listen(host, port))
+        self._server: Server = run_on_loop(self._listen(host, port))
 
     async def _listen(self, host: str, port: int) -> Server:
         return await serve(
@@ -216,11 +216,11 @@
             host,
             port,
             process_request=self._authenticate,
-            open_timeout=OPEN_TIMEOUT,
-            close_timeout=CLOSE_TIMEOUT,
-            ping_interval=PING_INTERVAL,
-            ping_timeout=PING_TIMEOUT,
-            max_size=MAX_FRAME,
+            open_timeout=OPEN_TIMEOUT_S,
+            close_timeout=CLOSE_TIMEOUT_S,
+            ping_interval=PING_INTERVAL_S,
+            ping_timeout=PING_TIMEOUT_S,
+            max_size=MAX_FRAME_BYTES,
             compression=None,
             start_serving=False,
         )
@@ -233,7 +233,7 @@
 
     def start(self) -> None:
         """Accept links from now on."""
-        call(self._server.start_serving())
+        run_on_loop(self._server.start_serving())
 
     def stop(self) -> None:
         """Accept no more links; open ones go on."""
--- a/src/persimmonhitch/wire/loop.py
+++ b/src/persimmonhitch/wire/loop.py
@@ -8,7 +8,7 @@
 
 T = TypeVar("T")
 
-CALL_TIMEOUT: Final = 10.0
+CALL_TIMEOUT_S: Final = 10.0
 """Seconds for one call into the loop; opening a link has a shorter limit."""
 
 
@@ -21,9 +21,9 @@
     return loop
 
 
-def call(coroutine: Coroutine[Any, Any, T]) -> T:
+def run_on_loop(coro: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine on the loop and return its result.
 
     Never to be called on the loop's own thread, which would wait for itself.
     """
-    return asyncio.run_coroutine_threadsafe(coroutine, link_loop()).result(CALL_TIMEOUT)
+    return asyncio.run_coroutine_threadsafe(coro, link_loop()).result(CALL_TIMEOUT_S)
--- a/src/persimmonhitch/wire/messages.py
+++ b/src/persimmonhitch/wire/messages.py
@@ -93,7 +93,7 @@
     adapter: Adapter | None
     version: ConfigVersion
     priority: Priority
-    deadline: float
+    timeout_s: float
     repeatable: bool
     method: str
     path: str
@@ -102,7 +102,7 @@
     cost: Tokens
     traceparent: str
     weight: float
-    giver: Vm
+    lender: Vm
     generation: int
 
 
@@ -117,7 +117,7 @@
 
 @message(5)
 @dataclass(frozen=True)
-class Bury:
+class Tombstone:
     """Never run this request if it arrives later; say whether it has run."""
 
     request: RequestId
@@ -126,7 +126,7 @@
 
 @message(6)
 @dataclass(frozen=True)
-class Buried:
+class TombstoneReply:
     """Answer to ``Bury``: the verdict that now stays true."""
 
     request: RequestId
@@ -163,7 +163,7 @@
     request: RequestId
     attempt: int
     chunks: int
-    used: Tokens
+    tokens: Tokens
 
 
 @message(10)
@@ -192,7 +192,7 @@
 
 @message(11)
 @dataclass(frozen=True)
-class Report:
+class LoadReport:
     """Load of one upstream as its sidecar sees it.
 
     ``queued_tokens`` wait at the sidecar; ``token_rate`` is reserved tokens a
@@ -209,8 +209,8 @@
     queued: int
     queued_tokens: float
     token_rate: float
-    first_token: float
-    token_gap: float
+    first_token_s: float
+    token_gap_s: float
     version: ConfigVersion
 
 
@@ -228,7 +228,7 @@
     model: Model
     adapter: Adapter | None
     revision: str
-    memory: float
+    memory_gib: float
 
 
 @message(13)
@@ -243,12 +243,12 @@
 
 @message(15)
 @dataclass(frozen=True)
-class Flow:
+class FlowControl:
     """Stop or go on reading an attempt's answer from the upstream."""
 
     request: RequestId
     attempt: int
-    go_on: bool
+    resume: bool
 
 
 @message(14)
@@ -263,5 +263,5 @@
     request: RequestId
     attempt: int
     incarnation: Incarnation
-    have_head: bool
+    head_received: bool
     next_chunk: int
--- a/src/persimmonhitch/wire/placement.py
+++ b/src/persimmonhitch/wire/placement.py
@@ -59,7 +59,7 @@
     """Another order for the same copy is under way."""
     NO_BASE = "no_base"
     BASE_IN_USE = "base_in_use"
-    NOT_HELD = "not_held"
+    NOT_LOADED = "not_held"
     BAD_MEMORY = "bad_memory"
     BAD_ACTION = "bad_action"
     REFUSED = "refused"
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Holding:
+class CopyStatus:
     """One copy at an upstream; ``demand`` is tokens a second asked of it."""
 
     copy: Copy
@@ -80,7 +80,7 @@
 
 @message(40)
 @dataclass(frozen=True)
-class Holdings:
+class Inventory:
     """What one upstream holds in its accelerator memory, in GiB."""
 
     upstream: Upstream
@@ -90,10 +90,10 @@
     epoch: Epoch
     capacity: float
     free: float
-    ready: bool
+    accepts_loads: bool
     """False while orders to load are refused after a start."""
     draining: bool
-    holdings: tuple[Holding, ...]
+    copies: tuple[CopyStatus, ...]
 
 
 NO_EPOCH: Final = Epoch(0)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,9 +12,9 @@
 from persimmonhitch.entry.calls import clean_headers, clean_query, read_call
 from persimmonhitch.verdict import ErrorCode, Failure
 from persimmonhitch.web import Request
-from persimmonhitch.web.http import MAX_BODY, read_request
+from persimmonhitch.web.http import MAX_BODY_BYTES, read_request
 from persimmonhitch.wire import auth
-from persimmonhitch.wire.codec import MAX_FRAME, decode, encode
+from persimmonhitch.wire.codec import MAX_FRAME_BYTES, decode, encode
 from persimmonhitch.wire.messages import Head, Hello, Role
 
 ledger = test_links.ledger
@@ -53,7 +53,7 @@
     assert result.failure().code is ErrorCode.BAD_REQUEST
 
 
-@pytest.mark.parametrize("stated", [str(MAX_BODY + 1), ""])
+@pytest.mark.parametrize("stated", [str(MAX_BODY_BYTES + 1), ""])
 def test_a_body_that_is_too_long_is_refused(stated):
     class Endless:
         def read(self, count):
@@ -106,7 +106,7 @@
     with pytest.raises(ConnectionClosed):
         conn.recv(timeout=5)
     assert ledger.conn.welcomed.is_set()
-    other = test_links.SidecarConn(ledger.conn.info, SECRET.encode(), test_links.STILL)
+    other = test_links.SidecarConn(ledger.conn.info, SECRET.encode(), test_links.FEED)
     assert other.connect(HELLO)
 
 
@@ -120,4 +120,4 @@
 
 
 def test_a_frame_over_the_limit_is_not_read():
-    assert "bytes" in decode(b"x" * (MAX_FRAME + 1)).failure()
+    assert "bytes" in decode(b"x" * (MAX_FRAME_BYTES + 1)).failure()
--- a/tests/test_config_stale.py
+++ b/tests/test_config_stale.py
@@ -3,7 +3,7 @@
 import time
 
 from fleet import wait_for
-from test_links import admitted, rig
+from test_links import admitted, start_sidecar
 
 from persimmonhitch.catalog import staleness
 from persimmonhitch.catalog.messages import ConfigNote
@@ -20,7 +20,7 @@
     sidecar has heard of the newer version from another entry, and refuses.
     """
     monkeypatch.setattr(staleness, "GRACE", 0.0)
-    made = rig(ServiceApp(), UpstreamKind.SERVICE)
+    made = start_sidecar(ServiceApp(), UpstreamKind.SERVICE)
 
     def first_frame(version):
         sub = _submit(admitted("ledger"), made.conn, 1, time.monotonic(), version)
--- a/tests/test_decide_routing.py
+++ b/tests/test_decide_routing.py
@@ -13,7 +13,7 @@
     UpstreamLoad,
     choose,
 )
-from persimmonhitch.wire.messages import Report
+from persimmonhitch.wire.messages import LoadReport
 
 REQ = RouteRequest("z1", 300.0)
 IDLE = Candidate("u1", "z1", 0.0)
@@ -21,7 +21,7 @@
 
 def report(queued=0, running=0, rate=0.0, limit=16):
     tokens = queued * 100.0
-    return Report(
+    return LoadReport(
         "u", "i", (), False, running, limit, queued, tokens, rate, 0.1, 0.02, 1
     )
 
--- a/tests/test_direct_stop.py
+++ b/tests/test_direct_stop.py
@@ -26,7 +26,7 @@
     conn = http.client.HTTPConnection("127.0.0.1", server.port, timeout=5)
     conn.request("GET", "/")
     assert conn.getresponse().read() == b"ok"
-    server.leave()
+    server.disable_keep_alive()
     server.stop_listening()
     server.close_idle()
     assert conn.sock.recv(1) == b""
--- a/tests/test_ledger_orders.py
+++ b/tests/test_ledger_orders.py
@@ -164,7 +164,7 @@
     copies.start(lambda: None)
     link = SimpleNamespace(send=lambda _msg: done.set())
     submit = SimpleNamespace(model=B.model, cost=10.0)
-    wait_for(lambda: copies.holdings("i", False).ready, "the first list")
+    wait_for(lambda: copies.holdings("i", False).accepts_loads, "the first list")
     with copies.using(submit) as refusal:
         assert refusal is None
         copies.order(Order("o", Epoch(1), "unload", B.model, None, "1", 0.0), link)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -43,7 +43,7 @@
 )
 
 SECRET = "s"
-STILL = SimpleNamespace(version=1, hint=lambda _version: None)
+FEED = SimpleNamespace(version=1, hint=lambda _version: None)
 HELLO = Hello(PROTOCOL, Role.ENTRY, "vm", "z1", "i", 1)
 
 
@@ -57,7 +57,7 @@
     server: SidecarServer
     conn: SidecarConn
 
-    def cut(self):
+    def cut_link(self):
         """Cut the link and open it again, as the pool does."""
         self.conn.link.abort()
         wait_for(lambda: self.conn.link is None, "the end of the link")
@@ -83,7 +83,7 @@
         self.web.close()
 
 
-def rig(app, kind, port=0):
+def start_sidecar(app, kind, port=0):
     web = WebServer(app, "127.0.0.1", 0, 8)
     web.start()
     cfg = SidecarSettings(
@@ -117,16 +117,16 @@
         frozenset(),
         False,
     )
-    made = Rig(app, web, dispatcher, server, SidecarConn(info, SECRET.encode(), STILL))
-    made.relink()
-    return made
+    rig = Rig(app, web, dispatcher, server, SidecarConn(info, SECRET.encode(), FEED))
+    rig.relink()
+    return rig
 
 
 @pytest.fixture
 def ledger():
-    made = rig(ServiceApp(delay=0.3), UpstreamKind.SERVICE)
-    yield made
-    made.close()
+    rig = start_sidecar(ServiceApp(delay=0.3), UpstreamKind.SERVICE)
+    yield rig
+    rig.close()
 
 
 @pytest.fixture
@@ -134,9 +134,9 @@
     orders = EngineOrders(80.0, 0.0, fenced=True)
     orders.preload("m:10:r1")
     app = EngineApp(orders, EngineSpeed(prefill=0.0, step=0.02))
-    made = rig(app, UpstreamKind.ENGINE)
-    yield made
-    made.close()
+    rig = start_sidecar(app, UpstreamKind.ENGINE)
+    yield rig
+    rig.close()
 
 
 def admitted(service=None, body=b"", repeatable=False, timeout=5.0):
@@ -158,19 +158,19 @@
     )
 
 
-def start(made, req):
+def start(rig, req):
     """Run an attempt on a thread; return a call that waits for its frames."""
     frames = []
-    sub = _submit(req, made.conn, 1, time.monotonic(), 1)
-    attempt = Attempt(made.conn, sub, req)
+    sub = _submit(req, rig.conn, 1, time.monotonic(), 1)
+    attempt = Attempt(rig.conn, sub, req)
     thread = threading.Thread(target=lambda: frames.extend(attempt.frames()))
     thread.start()
 
-    def joined():
+    def wait_for_frames():
         thread.join(10)
         return frames
 
-    return joined, frames
+    return wait_for_frames, frames
 
 
 def test_booking_goes_on_over_a_new_link(ledger):
@@ -178,11 +178,11 @@
     the skipper gets its confirmation, late but whole.
     """
     req = admitted("ledger")
-    joined, _ = start(ledger, req)
+    wait_for_frames, _ = start(ledger, req)
     wait_for(lambda: ledger.app.runs, "the booking")
-    ledger.cut()
+    ledger.cut_link()
     ledger.relink()
-    frames = joined()
+    frames = wait_for_frames()
     assert isinstance(frames[-1], End)
     assert ledger.app.runs == {req.request: 1}
 
@@ -195,11 +195,11 @@
     message = {"role": "user", "content": " ".join(words)}
     chat = {"model": "m", "messages": [message], "stream": True, "max_tokens": 20}
     req = admitted(body=json.dumps(chat).encode(), repeatable=True)
-    joined, frames = start(engine, req)
+    wait_for_frames, frames = start(engine, req)
     wait_for(lambda: len(frames) > 5, "a few words")
-    engine.cut()
+    engine.cut_link()
     engine.relink()
-    got = joined()
+    got = wait_for_frames()
     assert isinstance(got[-1], End)
     text = b"".join(f.data for f in got if isinstance(f, Chunk)).decode()
     spoken = [word for word in words if f'"{word} "' in text]
@@ -213,12 +213,12 @@
     have the caller book a second barge.
     """
     req = admitted("ledger")
-    joined, _ = start(ledger, req)
+    wait_for_frames, _ = start(ledger, req)
     wait_for(lambda: ledger.app.runs, "the booking")
-    ledger.cut()
+    ledger.cut_link()
     ledger.restart()
     ledger.relink()
-    last = joined()[-1]
+    last = wait_for_frames()[-1]
     assert isinstance(last, Fail)
     assert (last.code, last.verdict) == (
         ErrorCode.UPSTREAM_LOST,
@@ -236,12 +236,12 @@
     sub = _submit(req, ledger.conn, 1, time.monotonic(), 1)
     link, real = ledger.conn.link, ledger.conn.link.send
     link.send = lambda msg: True
-    joined, _ = start(ledger, req)
+    wait_for_frames, _ = start(ledger, req)
     wait_for(lambda: ledger.conn._exchanges, "the attempt")
     link.send = real
-    ledger.cut()
+    ledger.cut_link()
     ledger.relink()
-    last = joined()[-1]
+    last = wait_for_frames()[-1]
     assert isinstance(last, Fail)
     assert last.verdict is Verdict.NOT_RUN
     late = ledger.conn.submit(sub)
@@ -255,7 +255,7 @@
     ("change", "code"),
     [
         ({"incarnation": "earlier"}, ErrorCode.STALE_INCARNATION),
-        ({"deadline": 0.0}, ErrorCode.DEADLINE),
+        ({"timeout_s": 0.0}, ErrorCode.DEADLINE),
     ],
 )
 def test_refused_before_it_ran(ledger, change, code):
@@ -288,7 +288,7 @@
     """Frames of an earlier attempt, or out of place, arrive among those of the
     present one. The caller must not get a part of another answer.
     """
-    conn = SidecarConn(ledger.conn.info, b"", STILL)
+    conn = SidecarConn(ledger.conn.info, b"", FEED)
     conn.load = UpstreamLoad()
     conn.link = type("Sink", (), {"send": lambda self, msg: True})()
     sub = _submit(admitted("ledger"), ledger.conn, 2, time.monotonic(), 1)
@@ -326,8 +326,8 @@
     short = {**chat, "messages": [{"role": "user", "content": "quick"}]}
     short["max_tokens"] = 3
     other = admitted(body=json.dumps(short).encode(), repeatable=True)
-    joined, _ = start(engine, other)
-    assert isinstance(joined()[-1], End)
+    wait_for_frames, _ = start(engine, other)
+    assert isinstance(wait_for_frames()[-1], End)
     held = engine.conn._exchanges[req.request][0]._unread
     assert held < 2 * MOST_UNREAD
     rest = list(slow)
@@ -345,14 +345,14 @@
         start_response("200 OK", [("Content-Type", "text/event-stream")])
         return [b"data: tide at noon\n\n"]
 
-    made = rig(events, UpstreamKind.SERVICE)
-    joined, _ = start(made, admitted("ledger"))
-    kinds = [type(frame) for frame in joined()]
-    made.close()
+    rig = start_sidecar(events, UpstreamKind.SERVICE)
+    wait_for_frames, _ = start(rig, admitted("ledger"))
+    kinds = [type(frame) for frame in wait_for_frames()]
+    rig.close()
     assert kinds == [Head, Chunk, End]
 
 
 def test_wrong_secret_opens_no_link(ledger):
     """A process without the fleet's secret asks for a link and gets none."""
-    conn = SidecarConn(ledger.conn.info, b"wrong", STILL)
+    conn = SidecarConn(ledger.conn.info, b"wrong", FEED)
     assert not conn.connect(HELLO)
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -6,7 +6,7 @@
 
 from persimmonhitch.ids import Account, ConfigVersion
 from persimmonhitch.observe import traces as traces_module
-from persimmonhitch.observe.metrics import INSTRUMENTS, OTHER, Metrics
+from persimmonhitch.observe.metrics import INSTRUMENTS, OTHER_ACCOUNTS, Metrics
 from persimmonhitch.observe.traces import HopName, Traces
 from persimmonhitch.verdict import ErrorCode, Failure, Verdict
 
@@ -33,10 +33,10 @@
     account = Account(account)
     metrics.request_started("chat")
     metrics.request_done(account, "chat", 429, REFUSED, 0.2)
-    metrics.queued(account, 0.1)
+    metrics.queue_time(account, 0.1)
     metrics.first_token(account, 0.3)
     metrics.token_gap(0.02)
-    metrics.news_age(0.2)
+    metrics.update_age(0.2)
     metrics.tokens_used(account, 12.0)
     metrics.retried(REFUSED)
     metrics.borrowed(account, 5.0)
@@ -79,12 +79,12 @@
     lines = metrics.render().decode().splitlines()
     series = [x for x in lines if x.startswith("persimmonhitch_tokens_total")]
     assert len(series) == 3
-    assert f'persimmonhitch_tokens_total{{account="{OTHER}"}} 48.0' in series
+    assert f'persimmonhitch_tokens_total{{account="{OTHER_ACCOUNTS}"}} 48.0' in series
 
 
 def test_hops_join_under_the_callers_trace(spans):
     traces = Traces(1.0)
-    parent = traces.from_caller(CALLER)
+    parent = traces.resample(CALLER)
     with traces.hop(HopName.ENTRY, parent, request="r1") as entry:
         with traces.hop(HopName.SIDECAR, entry.traceparent) as sidecar:
             sidecar.fail(REFUSED)
@@ -100,7 +100,7 @@
     with Traces(1.0).hop(HopName.ENTRY, "", authorization="Bearer k", model="m" * 999):
         pass
     assert "authorization" not in spans[0]
-    assert len(spans[0]["model"]) == traces_module.MAX_TEXT
+    assert len(spans[0]["model"]) == traces_module.MAX_VALUE_CHARS
 
 
 @pytest.mark.parametrize(
@@ -118,14 +118,14 @@
     spans, ratio, traceparent, kept, same_trace
 ):
     traces = Traces(ratio)
-    with traces.hop(HopName.ENTRY, traces.from_caller(traceparent)) as hop:
+    with traces.hop(HopName.ENTRY, traces.resample(traceparent)) as hop:
         assert hop.traceparent
     assert len(spans) == kept
     assert (kept and spans[0]["trace_id"] == TRACE_ID) == same_trace
 
 
 def test_a_span_ends_once(spans):
-    hop = Traces(1.0).begin(HopName.UPSTREAM, CALLER)
+    hop = Traces(1.0).start(HopName.UPSTREAM, CALLER)
     hop.end()
     hop.end()
     assert len(spans) == 1
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -23,7 +23,7 @@
 from persimmonhitch.sidecar.holdings import EVERY, HoldingsNews
 from persimmonhitch.standin.store_state import StoreState
 from persimmonhitch.wire.messages import Order, OrderDone, UpstreamKind
-from persimmonhitch.wire.placement import Copy, CopyState, Holding, Holdings
+from persimmonhitch.wire.placement import Copy, CopyState, CopyStatus, Inventory
 
 DURATION = 10.0
 
@@ -152,8 +152,8 @@
 
 
 def holdings(upstream=UP, epoch=1, held=(), free=100.0, ready=True):
-    made = tuple(Holding(copy, state, 10.0, demand) for copy, state, demand in held)
-    return Holdings(upstream, "vm", "z", "i", epoch, 100.0, free, ready, False, made)
+    made = tuple(CopyStatus(copy, state, 10.0, demand) for copy, state, demand in held)
+    return Inventory(upstream, "vm", "z", "i", epoch, 100.0, free, ready, False, made)
 
 
 def view(*msgs, now=0.0):
@@ -255,7 +255,7 @@
     actor.take(Tick())
     actor.take(Tick())
     assert orders(link)[1:] == [("load", MODEL)]
-    assert link.sent[-1].memory == 10.0
+    assert link.sent[-1].memory_gib == 10.0
 
 
 def test_while_the_store_is_away_only_the_unreachable_are_loaded(store, clock):
--- a/tests/test_web_threads.py
+++ b/tests/test_web_threads.py
@@ -8,32 +8,32 @@
 
 from persimmonhitch.web import WebServer
 
-MOST = 6
+MAX_THREADS = 6
 
 
-class Gate:
+class BlockingApp:
     """An application whose requests wait until they are let through."""
 
     def __init__(self):
-        self.inside = 0
-        self.open = threading.Event()
+        self.running = 0
+        self.released = threading.Event()
         self._lock = threading.Lock()
 
     def __call__(self, _environ, start_response):
         with self._lock:
-            self.inside += 1
-        self.open.wait(10)
+            self.running += 1
+        self.released.wait(10)
         start_response("200 OK", [("Content-Length", "2")])
         return [b"ok"]
 
 
 @pytest.fixture
-def gate():
-    app = Gate()
-    server = WebServer(app, "127.0.0.1", 0, MOST)
+def blocking():
+    app = BlockingApp()
+    server = WebServer(app, "127.0.0.1", 0, MAX_THREADS)
     server.start()
     yield app, server
-    app.open.set()
+    app.released.set()
     server.stop_listening()
     server.close()
 
@@ -42,22 +42,22 @@
     urllib.request.urlopen(f"http://127.0.0.1:{server.port}/", timeout=10).read()
 
 
-def test_idle_server_holds_no_threads_for_requests(gate):
+def test_idle_server_holds_no_threads_for_requests(blocking):
     """Dozens of entries that start together would hold thousands of idle threads."""
-    _, server = gate
+    _, server = blocking
     assert not server._server.task_dispatcher.threads
 
 
-def test_each_waiting_request_has_a_thread_up_to_the_limit(gate):
+def test_each_waiting_request_has_a_thread_up_to_the_limit(blocking):
     """A request that waits behind another one misses its deadline unseen."""
-    app, server = gate
-    calls = [threading.Thread(target=_call, args=(server,)) for _ in range(MOST)]
+    app, server = blocking
+    calls = [threading.Thread(target=_call, args=(server,)) for _ in range(MAX_THREADS)]
     for call in calls:
         call.start()
-    wait_for(lambda: app.inside == MOST, "all requests to be inside")
-    assert len(server._server.task_dispatcher.threads) == MOST
-    app.open.set()
+    wait_for(lambda: app.running == MAX_THREADS, "all requests to be inside")
+    assert len(server._server.task_dispatcher.threads) == MAX_THREADS
+    app.released.set()
     for call in calls:
         call.join(10)
     _call(server)
-    assert len(server._server.task_dispatcher.threads) == MOST
+    assert len(server._server.task_dispatcher.threads) == MAX_THREADS
