--- a/src/persimmonhitch/platform/__init__.py
+++ b/src/persimmonhitch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Names, formats and calls of the platform; nothing here decides."""
+"""Names, formats and client of the platform's APIs; contains no policy."""
--- a/src/persimmonhitch/platform/config_format.py
+++ b/src/persimmonhitch/platform/config_format.py
@@ -1,4 +1,4 @@
-"""Reads the operators' configuration."""
+"""Decoder of the operators' configuration."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -28,7 +28,7 @@
 
 
 def decode_config(body: Body) -> Result[FleetConfig, str]:
-    """Return the configuration of a document, or why it can't be read."""
+    """Return the decoded configuration, or the reason why it is malformed."""
     try:
         accounts = [_account(item) for item in body.get("tenants") or ()]
         return Success(
@@ -57,7 +57,7 @@
         name=str(raw["name"]),
         host=str(raw["hostname"]),
         prefix=str(raw["path_prefix"]),
-        # A kind that is not known here must not be repeated.
+        # Requests of an unknown kind are never repeated, since that may be unsafe.
         kind=ROUTE_KINDS.get(raw.get("route_kind", ""), CallKind.NON_IDEMPOTENT),
         targets=tuple(
             Target(Service(part["service"]), float(part["weight"])) for part in split
@@ -116,6 +116,6 @@
         rank=None if rank is None else int(rank),
         rate=float(raw.get("rate_per_s") or 0),
         burst=float(raw.get("burst_size") or 0),
-        # Without a unit of tokens each call counts as one.
+        # Unless the unit is tokens, the rate counts requests, each with cost 1.
         flat_cost=Tokens(float(raw.get("uncached_tokens") or 1) if in_tokens else 1),
     )
--- a/src/persimmonhitch/platform/headers.py
+++ b/src/persimmonhitch/platform/headers.py
@@ -1,4 +1,4 @@
-"""Reads and writes the headers of requests and answers; names are in lower case."""
+"""Parsers and builders for headers; all header names are in lower case."""
 
 import re
 from collections.abc import Mapping
@@ -16,6 +16,7 @@
     | {"trailer", "upgrade", "content-length", "expect", "proxy-authorization"}
 )
 MAX_RANK: Final = 9
+"""Least urgent rank that the priority header can express."""
 MISDIRECTED: Final = 421
 KEEP_ALIVE_TIMEOUT: Final = re.compile(r"timeout=(\d+)")
 
@@ -25,7 +26,7 @@
         value = float(text) if text else None
     except ValueError:
         return None
-    # Words such as "nan" are numbers to the parser, but no time.
+    # float() also accepts "nan" and "inf", which are no valid durations or rates.
     return value if value is not None and 0 <= value < 1e9 else None
 
 
@@ -44,7 +45,7 @@
 
 
 def read_caller(headers: Headers) -> CallerHeaders:
-    """Return what a caller's headers say; what can't be read counts as absent."""
+    """Return the parsed headers of a caller; malformed ones count as absent."""
     counts = _parse_token_counts(headers.get(names.TOKEN_COUNTS, ""))
     model, _, adapter = headers.get(names.MODEL, "").partition("/")
     timeout_ms = _parse_number(headers.get(names.DEADLINE))
@@ -72,10 +73,11 @@
     time_left: float,
     last_event_id: str | None,
 ) -> dict[str, str]:
-    """Return the headers of a request that is passed on, without its key.
+    """Return the headers of a request to an upstream, without the caller's API key.
 
-    What only the system may say of a request is dropped when the caller said it.
+    Reserved headers are set by this system alone; those of the caller are dropped.
     """
+    # Headers that the Connection header lists apply to one connection only.
     listed = {word.strip() for word in headers.get("connection", "").lower().split(",")}
     dropped = HOP_BY_HOP | names.RESERVED_HEADERS | listed | {names.AUTHORIZATION}
     forwarded = {name: text for name, text in headers.items() if name not in dropped}
@@ -91,7 +93,7 @@
 
 
 def order_headers(instance: Upstream) -> dict[str, str]:
-    """Return the headers of an order that only one instance may take."""
+    """Return the headers of an order that only the given instance accepts."""
     return {names.EXPECTED_INSTANCE: instance, "content-type": "application/json"}
 
 
@@ -104,13 +106,13 @@
 
 
 def read_era(headers: Headers) -> Era | None:
-    """Return the era that an answer of the store names, None if none can be read."""
+    """Return the era in a reply of the store, or None if missing or malformed."""
     text = headers.get(names.STORE_ERA, "").strip()
     return Era(int(text)) if text.isdecimal() else None
 
 
 def read_limit(headers: Headers) -> RateLimit | None:
-    """Return the limit of requests that an upstream's answer names."""
+    """Return the request rate limit in an upstream's reply, if present."""
     for name in names.SERVER_LIMIT:
         if name in headers:
             return RateLimit(_parse_number(headers[name].strip()))
@@ -118,7 +120,7 @@
 
 
 def read_reply(status: int, headers: Headers) -> ReplyHeaders:
-    """Return what the headers of an upstream's answer say."""
+    """Return the parsed headers of an upstream's reply."""
     idle_timeout = KEEP_ALIVE_TIMEOUT.search(headers.get(names.KEEP_ALIVE, ""))
     request_id = headers.get(names.REQUEST_ID)
     instance = headers.get(names.INSTANCE)
@@ -135,7 +137,7 @@
 
 
 def response_headers(headers: Headers) -> dict[str, str]:
-    """Return the headers of an upstream's answer that reach the caller."""
+    """Return the headers of an upstream's reply that are forwarded to the caller."""
     listed = {word.strip() for word in headers.get("connection", "").lower().split(",")}
     dropped = HOP_BY_HOP | listed
     return {name: text for name, text in headers.items() if name not in dropped}
--- a/src/persimmonhitch/platform/names.py
+++ b/src/persimmonhitch/platform/names.py
@@ -1,11 +1,11 @@
-"""Every name of the platform's calls and headers, in one place."""
+"""Paths and header names of the platform's APIs."""
 
 from typing import Final
 
-# Headers of a caller's request.
+# Request headers set by callers.
 REQUEST_ID: Final = "x-persimmonhitch-request-id"
 DEADLINE: Final = "x-persimmonhitch-request-deadline"
-"""Milliseconds that the caller, or whoever passes the request on, will wait."""
+"""Milliseconds for which the sender of the request waits for the answer."""
 MODEL: Final = "x-persimmonhitch-model"
 TOKEN_COUNTS: Final = "x-persimmonhitch-token-counts"
 PROMPT_PREFIX: Final = "x-persimmonhitch-prompt-prefix"
@@ -14,7 +14,7 @@
 AUTHORIZATION: Final = "authorization"
 BEARER: Final = "bearer "
 
-# Headers that only this system may set on a request to an upstream.
+# Request headers that only this system may set.
 ACCOUNT: Final = "x-persimmonhitch-tenant"
 EXPECTED_INSTANCE: Final = "x-persimmonhitch-expected-instance"
 PRIORITY: Final = "x-persimmonhitch-request-priority"
@@ -30,25 +30,25 @@
     | {KV_FROM, KV_FETCH, WAIT_MS}
 )
 
-# Headers of an upstream's answer.
+# Reply headers set by upstreams.
 SIGNATURE: Final = "x-persimmonhitch-response-signature"
 NOT_EXECUTED: Final = "x-persimmonhitch-not-executed"
 INSTANCE: Final = "x-persimmonhitch-instance-id"
 SERVER_LOAD: Final = "x-persimmonhitch-server-load"
 SERVER_LIMIT: Final = ("server-limit", "x-persimmonhitch-server-limit")
-"""Requests a second that an upstream takes from all entries; under either name, since
-headers of its kind have both forms."""
+"""Requests per second that an upstream accepts from all entries together. Both names
+are read, since upstreams send such headers with and without the prefix."""
 RETRY_AFTER: Final = "retry-after"
 KEEP_ALIVE: Final = "keep-alive"
 
-# Calls that arrive here and calls to upstreams.
+# Paths served by entries and by upstreams.
 READINESS_PATH: Final = "/api/readiness"
 REPORT_PATH: Final = "/api/report"
 ORDER_PATH: Final = "/api/order"
 
-# Calls to the store.
+# The store.
 STORE_ERA: Final = "store-era"
-"""Rises by one each time that the store comes back from a copy."""
+"""Incremented each time the store is restored from an older copy."""
 OBJECTS_PATH: Final = "/api/objects"
 CONFIG_NAME: Final = "main"
-"""Name of the one object that holds the configuration."""
+"""Name of the only object of the configuration kind."""
--- a/src/persimmonhitch/platform/objects_format.py
+++ b/src/persimmonhitch/platform/objects_format.py
@@ -1,4 +1,4 @@
-"""Objects of the store as JSON, both ways; the stand-in uses it too."""
+"""JSON encoding of store objects, used by the client and by the stand-in store."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -20,24 +20,24 @@
 NO_ERA: Final = Era(0)
 
 PLATFORM_KIND_NAMES: Final = {Kind.UPSTREAM: "servers", Kind.FLEET: "config"}
-"""Kinds whose name here is not ours; all others are kinds of our own."""
+"""Names of the kinds that the platform defines; all others are their enum values."""
 _KINDS: Final = {PLATFORM_KIND_NAMES.get(kind, kind.value): kind for kind in Kind}
 
 
 def path_of(kind: Kind, name: str = "") -> str:
-    """Return the path of a kind, or of one object."""
+    """Return the path of a kind, or of one of its objects."""
     path = f"{OBJECTS_PATH}/{PLATFORM_KIND_NAMES.get(kind, kind.value)}"
     return f"{path}/{name}" if name else path
 
 
 def parse_path(path: str) -> tuple[Kind | None, str]:
-    """Return the kind and the object's name in a path."""
+    """Return the kind, if known, and the object name of a path."""
     kind, _, name = path.removeprefix(f"{OBJECTS_PATH}/").partition("/")
     return _KINDS.get(kind), name
 
 
 def encode_object(name: str, spec: Spec, version: Version | None) -> Body:
-    """Return the body that writes an object, on condition of a version if given."""
+    """Return the body of a write, conditional on ``version`` if not None."""
     meta: Body = {"name": name}
     if version is not None:
         meta["revision"] = revision_of(version)
@@ -47,9 +47,9 @@
 def decode_object(
     kind: Kind, body: Mapping[str, Any], era: Era = NO_ERA
 ) -> StoredObject:
-    """Return the object of a body that came in an era."""
+    """Return the object in a reply that the store sent in the given era."""
     meta = body["metadata"]
-    # A broken object of another writer must not hide the others of its kind.
+    # A malformed object of another writer must not hide the others of its kind.
     spec = body.get("specification")
     spec = spec if isinstance(spec, dict) else {}
     version = version_of(era, int(meta.get("revision", 0)))
@@ -57,7 +57,7 @@
 
 
 def encode_listing(listing: Listing) -> Body:
-    """Return the body of a list that fits on one page."""
+    """Return the body of a list reply with a single page."""
     items = [encode_object(o.name, o.spec, o.version) for o in listing.items]
     return {"items": items, "has_more": False, "at_revision": listing.version}
 
@@ -65,14 +65,14 @@
 def decode_page(
     kind: Kind, body: Body, era: Era = NO_ERA
 ) -> tuple[list[StoredObject], Version, bool]:
-    """Return one page of a list, its version and whether more pages follow."""
+    """Return the objects of a page, its version and whether more pages follow."""
     items = [decode_object(kind, item, era) for item in body["items"]]
     version = version_of(era, int(body["at_revision"]))
     return items, version, bool(body.get("has_more"))
 
 
 def encode_changes(changes: Changes) -> Body:
-    """Return the body of a watch's answer."""
+    """Return the body of a watch reply."""
     events = [_encode_event(event) for event in changes.events]
     return {"events": events, "at_revision": changes.version}
 
@@ -86,7 +86,7 @@
 
 
 def decode_changes(kind: Kind, body: Body, era: Era = NO_ERA) -> Changes:
-    """Return the changes of a watch's answer."""
+    """Return the changes in a watch reply."""
     events = tuple(_decode_event(kind, item, era) for item in body.get("events") or ())
     return Changes(version_of(era, int(body["at_revision"])), events)
 
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP: the one client that the system has."""
+"""HTTP client of the platform's object store."""
 
 import json
 from dataclasses import dataclass
@@ -38,11 +38,11 @@
     422: StoreError.INVALID,
 }
 WATCH_TIMEOUT_MARGIN_S: Final = 0.6
-"""Seconds beyond a watch's own time before its connection counts as dead. An answer
-takes milliseconds; a connection that went silent shows by nothing else."""
-RESTORED_DETAIL: Final = "the store has come back from a copy"
+"""Time after the end of a watch before its connection counts as dead. A reply takes
+milliseconds, and nothing else reveals an unresponsive connection."""
+RESTORED_DETAIL: Final = "the store was restored from an older copy"
 MAX_CONNECTIONS: Final = 16
-"""Kept connections: a watch a kind, the lease, and short calls."""
+"""Pooled connections: one watch per kind, the lease, and short calls."""
 
 
 @dataclass(frozen=True)
@@ -61,19 +61,19 @@
     Parameters
     ----------
     url : str
-        Base address, such as ``http://10.0.0.5:7000``.
+        Base URL, such as ``http://10.0.0.5:7000``.
     timeout : float
-        Seconds for one call.
-    eras : Eras or None
-        What is known of the store's eras; clients of one process share it.
+        Seconds for one call other than a watch.
+    eras : EraState or None
+        Newest observed era; shared by all clients of a process.
     """
 
     def __init__(self, url: str, timeout: float, eras: EraState | None = None) -> None:
         self._eras = EraState() if eras is None else eras
         self._base = url.rstrip("/")
         self._timeout = timeout
-        # Retries stay off: a write whose answer was lost may have taken effect,
-        # and a blind second send would meet its own first one as a conflict.
+        # No retries: a write whose reply was lost may have taken effect, and a blind
+        # retry would then conflict with it.
         self._http = urllib3.PoolManager(
             retries=False, maxsize=MAX_CONNECTIONS, timeout=timeout
         )
@@ -99,7 +99,9 @@
             return _failure(StoreError.UNAVAILABLE, repr(exc))
         era = read_era({k.lower(): v for k, v in reply.headers.items()})
         if not self._eras.observe(era):
-            return _failure(StoreError.UNAVAILABLE, "an answer of an older era")
+            return _failure(
+                StoreError.UNAVAILABLE, "the reply is of an older store era"
+            )
         if reply.status < 300 and isinstance(parsed, dict):
             return Success(_Reply(parsed, self._eras.current if era is None else era))
         error = STATUS_ERRORS.get(reply.status, StoreError.UNAVAILABLE)
@@ -110,7 +112,7 @@
         return self._decode_reply(kind, self._request("GET", path_of(kind, name)))
 
     def list_all(self, kind: Kind) -> Result[Listing, StoreFailure]:
-        """Return all objects of a kind, page by page."""
+        """Return all objects of a kind, read page by page."""
         items: list[StoredObject] = []
         query = ""
         first_era: Era | None = None
@@ -121,7 +123,9 @@
             reply: _Reply = result.unwrap()
             first_era = reply.era if first_era is None else first_era
             if reply.era != first_era:
-                return _failure(StoreError.EXPIRED, "restored between two pages")
+                return _failure(
+                    StoreError.EXPIRED, "the store was restored between two pages"
+                )
             try:
                 page, version, has_more = decode_page(kind, reply.body, reply.era)
             except (KeyError, TypeError, ValueError) as exc:
@@ -134,7 +138,7 @@
     def create(
         self, kind: Kind, name: str, spec: Spec
     ) -> Result[StoredObject, StoreFailure]:
-        """Create an object."""
+        """Create an object; fails with ``EXISTS`` if the name is in use."""
         body = encode_object(name, spec, None)
         result = self._request("POST", path_of(kind), body)
         if not isinstance(result, Success):
@@ -146,22 +150,22 @@
     def update(
         self, old: StoredObject, spec: Spec
     ) -> Result[StoredObject, StoreFailure]:
-        """Replace an object at the version given."""
+        """Replace an object if ``old`` is its current version."""
         if self._is_before_restore(old.version):
             return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         body = encode_object(old.name, spec, old.version)
         result = self._request("PUT", path_of(old.kind, old.name), body)
         if isinstance(result, Success) and result.unwrap().era != era_of(old.version):
-            # Its revision was given out again, to another content.
+            # The restored store assigned the revision again, to other content.
             return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         return self._decode_reply(old.kind, result)
 
     def _is_before_restore(self, version: Version) -> bool:
-        """Return whether a version is of an era before the newest."""
+        """Return whether a version is of an era before the newest observed one."""
         return era_of(version) < self._eras.current
 
     def delete(self, old: StoredObject) -> Result[None, StoreFailure]:
-        """Delete an object at the version given."""
+        """Delete an object if ``old`` is its current version."""
         if self._is_before_restore(old.version):
             return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         revision = revision_of(old.version)
@@ -171,7 +175,7 @@
     def watch(
         self, kind: Kind, after: Version, wait: float
     ) -> Result[Changes, StoreFailure]:
-        """Return what happened after a version, waiting up to ``wait`` seconds."""
+        """Return the changes after a version; wait up to ``wait`` seconds for one."""
         if self._is_before_restore(after):
             return _failure(StoreError.EXPIRED, RESTORED_DETAIL)
         revision = revision_of(after)
--- a/src/persimmonhitch/platform/upstream_format.py
+++ b/src/persimmonhitch/platform/upstream_format.py
@@ -1,4 +1,4 @@
-"""Reads what upstreams say of themselves, and writes orders to engines."""
+"""Decoders for records and reports of upstreams, and the encoder of orders."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -10,28 +10,28 @@
 
 
 class InvalidUpstreamRecord(ValueError):
-    """An entry that does not hold what an upstream's entry must."""
+    """A registration record of an upstream is malformed."""
 
 
 def decode_upstream(name: str, body: Body) -> UpstreamRecord:
-    """Return the upstream of an entry in the store.
+    """Return the upstream of a registration record in the store.
 
     Raises
     ------
     UnreadableEntry
-        If a field is missing, of another type, or says what is not known.
+        If a field is missing, of a wrong type, or has an unknown value.
     """
     state = body.get("state")
     if state not in ("ready", "draining"):
-        raise InvalidUpstreamRecord(f"state {state!r}")
+        raise InvalidUpstreamRecord(f"unknown state {state!r}")
     try:
         host, _, port = body["address"].rpartition(":")
         slots = body["slots"]
         service, zone = body["service"], body["zone"]
         if not host or type(slots) is not int or not isinstance(zone, str):
-            raise InvalidUpstreamRecord("address, slots or zone")
+            raise InvalidUpstreamRecord("address, slots or zone is malformed")
         if not isinstance(service, str):
-            raise InvalidUpstreamRecord("service")
+            raise InvalidUpstreamRecord("service is not a string")
         return UpstreamRecord(
             name=Upstream(name),
             service=Service(service),
@@ -41,7 +41,7 @@
             slots=slots,
             draining=state == "draining",
             started_at_ms=int(body.get("born") or 0),
-            # The count in an entry is that of its heartbeats, not of orders.
+            # The record's own sequence counts heartbeats, not orders.
             inventory=decode_inventory(body, NOT_COUNTED) if "models" in body else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
@@ -49,12 +49,12 @@
 
 
 def decode_report(body: Body) -> EngineInventory:
-    """Return what an engine holds by its own report, whose count is of orders."""
+    """Return the inventory in an engine's report, whose sequence counts orders."""
     return decode_inventory(body, int(body["sequence"]))
 
 
 def decode_inventory(body: Body, order_count: int) -> EngineInventory:
-    """Return what an engine holds, from its entry or its own report."""
+    """Return the inventory of an engine from its record or its report."""
     available = body.get("available") or {}
     return EngineInventory(
         order_count=order_count,
@@ -99,7 +99,10 @@
     leader: Vm,
     epoch: Epoch,
 ) -> dict[str, Any]:
-    """Return the body of an order that counts only after ``orders`` others."""
+    """Return the body of an order.
+
+    The engine accepts the order only if its order count equals ``order_count``.
+    """
     body: dict[str, Any] = {
         "operation": "load" if load else "unload",
         "model": model,
