--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -4,10 +4,10 @@
 import sys
 import threading
 
-from fleet import Fleet, small_fleet
+from fleet import Fleet, start_fleet
 
 
-def play(fleet: Fleet) -> bool:
+def send_requests(fleet: Fleet) -> bool:
     """Send a streamed chat and a plain call; return whether both were right."""
     chat = fleet.chat("entry-1", "fretes", "barge slot confirmed", 6, stream=True)
     print("streamed chat through entry-1:")
@@ -15,18 +15,18 @@
     path = "/v1/services/ledger/manifests/7"
     call = fleet.request("entry-2", "GET", path, "fretes")
     print(f"plain call through entry-2: {call.status} {call.body.decode()}")
-    good = chat.status == 200 and chat.body.endswith(b"data: [DONE]\n\n")
-    return good and call.status == 200 and call.json()["path"] == "/manifests/7"
+    succeeded = chat.status == 200 and chat.body.endswith(b"data: [DONE]\n\n")
+    return succeeded and call.status == 200 and call.json()["path"] == "/manifests/7"
 
 
-def hints(fleet: Fleet) -> None:
+def print_locations(fleet: Fleet) -> None:
     """Print where logs, traces and metrics are."""
     print(f"logs, one key=value line an event: {fleet.folder}/*.log")
     print(f"traces, a span for each hop: grep event=span {fleet.folder}/*.log")
     print(f"metrics: {fleet.urls['entry-1']}/metrics")
 
 
-def stay(fleet: Fleet) -> None:
+def wait_for_signal(fleet: Fleet) -> None:
     """Keep the fleet up until a signal."""
     urls = ",".join(fleet.urls[name] for name in ("entry-1", "entry-2"))
     key = fleet.keys["fretes"]
@@ -40,20 +40,20 @@
 def main(args: list[str]) -> int:
     """Run the demo; return 0 only if all was right and nothing is left."""
     fleet = Fleet()
-    good = False
+    succeeded = False
     try:
-        small_fleet(fleet)
+        start_fleet(fleet)
         fleet.planner("planner").ports()
-        good = play(fleet)
-        hints(fleet)
+        succeeded = send_requests(fleet)
+        print_locations(fleet)
         if "--stay" in args:
-            stay(fleet)
+            wait_for_signal(fleet)
     finally:
         killed = fleet.stop_all()
     if killed:
         print(f"had to be killed: {', '.join(killed)}")
-    print("all was right" if good and not killed else "something was wrong")
-    return 0 if good and not killed else 1
+    print("all was right" if succeeded and not killed else "something was wrong")
+    return 0 if succeeded and not killed else 1
 
 
 if __name__ == "__main__":
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -24,8 +24,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SECRET = "demo-secret"
-START_LIMIT = 20.0
-STOP_LIMIT = 15.0
+MAX_START_S = 20.0
+MAX_STOP_S = 15.0
 
 ACCOUNTS = """
 [account fretes]
@@ -61,15 +61,15 @@
 """
 
 
-def wait_for(condition: Callable[[], object], what: str, limit: float = START_LIMIT):
+def wait_for(condition: Callable[[], object], name: str, timeout: float = MAX_START_S):
     """Return the first true value of ``condition``, or raise after the limit."""
-    end = time.monotonic() + limit
+    end = time.monotonic() + timeout
     while time.monotonic() < end:
         value = condition()
         if value:
             return value
         time.sleep(0.02)
-    raise TimeoutError(f"{what} did not come about in {limit:g} s")
+    raise TimeoutError(f"{name} did not come about in {timeout:g} s")
 
 
 @dataclass
@@ -79,20 +79,20 @@
     name: str
     popen: subprocess.Popen
     log: Path
-    began: int
+    log_offset: int
     """Where its output begins in the log, after that of earlier processes."""
 
     def ports(self) -> dict[str, int]:
         """Return the ports that the process printed."""
 
-        def line() -> str:
+        def listening_line() -> str:
             if self.popen.poll() is not None:
                 raise RuntimeError(f"{self.name} ended:\n{self.log.read_text()}")
-            lines = self.log.read_text()[self.began :].split("\n")[:-1]
+            lines = self.log.read_text()[self.log_offset :].split("\n")[:-1]
             return next((ln for ln in lines if ln.startswith("listening ")), "")
 
-        words = wait_for(line, f"the port of {self.name}").split()[1:]
-        return {key: int(port) for key, port in (word.split("=") for word in words)}
+        ports = wait_for(listening_line, f"the port of {self.name}").split()[1:]
+        return {key: int(port) for key, port in (word.split("=") for word in ports)}
 
     def signal(self, signum: int) -> None:
         """Send a signal."""
@@ -103,10 +103,10 @@
         self.popen.kill()
         self.popen.wait()
 
-    def stop(self, limit: float = STOP_LIMIT) -> int:
+    def stop(self, timeout: float = MAX_STOP_S) -> int:
         """End it gracefully; return its exit code."""
         self.signal(signal.SIGTERM)
-        return self.popen.wait(limit)
+        return self.popen.wait(timeout)
 
 
 @dataclass
@@ -143,7 +143,7 @@
     def spawn(self, name: str, module: str, *args: str) -> Process:
         """Start a module of the package as a process."""
         log = self.folder / f"{name}.log"
-        began = log.stat().st_size if log.exists() else 0
+        log_offset = log.stat().st_size if log.exists() else 0
         env = {**os.environ, "PYTHONPATH": str(ROOT / "src")}
         popen = subprocess.Popen(
             [sys.executable, "-m", f"persimmonhitch.{module}", *args],
@@ -151,7 +151,7 @@
             stderr=subprocess.STDOUT,
             env=env,
         )
-        process = Process(name, popen, log, began)
+        process = Process(name, popen, log, log_offset)
         self.processes[name] = process
         return process
 
@@ -159,7 +159,7 @@
         """Start a stand-in; its address is known once ``addresses`` has run."""
         return self.spawn(name, "standin", kind, *args)
 
-    def addresses(self, port: str, *names: str) -> None:
+    def record_urls(self, port: str, *names: str) -> None:
         """Note where processes listen, as they print it."""
         for name in names:
             number = self.processes[name].ports()[port]
@@ -171,15 +171,15 @@
         path.write_text(text)
         return str(path)
 
-    def sidecar(self, name: str, upstream: str, kind: str, service: str = "", **more):
+    def sidecar(self, name: str, upstream: str, kind: str, service: str = "", **extra):
         """Start the sidecar of an upstream."""
-        extra = "\n".join(f"{key} = {value}" for key, value in more.items())
+        lines = "\n".join(f"{key} = {value}" for key, value in extra.items())
         path = self.settings(
             f"sidecar-{name}",
             f"[vm]\nname = vm-{name}\nzone = z1\nregion = r1\n"
             f"[link]\nhost = 127.0.0.1\nsecret = {SECRET}\n"
             f"[upstream]\nname = {name}\nkind = {kind}\nservice = {service}\n"
-            f"url = {self.urls[upstream]}\n{extra}\n"
+            f"url = {self.urls[upstream]}\n{lines}\n"
             f"[store]\nurl = {self.urls['store']}\n",
         )
         return self.spawn(f"sidecar-{name}", "sidecar", f"--settings={path}")
@@ -215,7 +215,7 @@
         """Return a client of the fleet's object API."""
         return StoreClient(self.urls["store"], 2.0)
 
-    def faults(self, **values: object) -> None:
+    def set_faults(self, **values: object) -> None:
         """Set the faults of the store's stand-in; none are left without values."""
         self.http.request("POST", self.urls["store"] + "/faults", json=values)
 
@@ -243,12 +243,12 @@
         catalog = read_head(store).unwrap().catalog
         return ChangeWriter(store, "fleet").commit(catalog, edit(catalog)).unwrap()
 
-    def apply(self, accounts: str = ACCOUNTS, plans: str = PLANS) -> None:
+    def apply_lists(self, accounts: str = ACCOUNTS, plans: str = PLANS) -> None:
         """Put the two lists in force."""
         lists = parse_lists(accounts, plans).unwrap()
         self.commit(lambda catalog: diff_lists(catalog, lists))
 
-    def issue(self, account: str) -> str:
+    def issue_key(self, account: str) -> str:
         """Issue a key."""
 
         def edit(catalog: Catalog) -> Delta:
@@ -258,27 +258,27 @@
         self.commit(edit)
         return self.keys[account]
 
-    def withdraw(self, account: str) -> None:
+    def withdraw_key(self, account: str) -> None:
         """Withdraw the account's key."""
         prefix = keys.hash_key(self.keys[account])
         self.commit(lambda catalog: keys.withdraw(catalog, prefix).unwrap())
 
-    def request(self, entry: str, method: str, path: str, account: str, **more):
+    def request(self, entry: str, method: str, path: str, account: str, **options):
         """Send a request as an account; return its answer."""
         headers = {"Authorization": f"Bearer {self.keys.get(account, account)}"}
-        headers.update(more.pop("headers", {}))
+        headers.update(options.pop("headers", {}))
         answer = self.http.request(
-            method, self.urls[entry] + path, headers=headers, timeout=30.0, **more
+            method, self.urls[entry] + path, headers=headers, timeout=30.0, **options
         )
         return Reply(answer.status, answer.headers, answer.data)
 
-    def chat(self, entry: str, account: str, words: str, count: int = 4, **body):
+    def chat(self, entry: str, account: str, text: str, max_tokens: int = 4, **body):
         """Send a chat call; return its answer."""
         headers = body.pop("headers", {})
         content = {
             "model": "tiny-chat",
-            "messages": [{"role": "user", "content": words}],
-            "max_tokens": count,
+            "messages": [{"role": "user", "content": text}],
+            "max_tokens": max_tokens,
             **body,
         }
         return self.request(
@@ -290,7 +290,7 @@
             headers=headers,
         )
 
-    def ready(self, entry: str, upstreams: int) -> None:
+    def wait_ready(self, entry: str, upstreams: int) -> None:
         """Wait until an entry is ready and linked to its sidecars."""
         log = self.processes[entry].log
 
@@ -301,14 +301,14 @@
         url = self.urls[entry] + "/readyz"
         wait_for(lambda: self.http.request("GET", url).status == 200, f"{entry} ready")
 
-    def shared(self, account: str, holders: int) -> None:
+    def wait_shared(self, account: str, entries: int) -> None:
         """Wait until so many entries hold a share of an account."""
 
         def spread() -> bool:
-            found = self.store().get(Kind.SHARE, account)
-            return len(found.unwrap().spec["parts"]) >= holders
+            share = self.store().get(Kind.SHARE, account)
+            return len(share.unwrap().spec["parts"]) >= entries
 
-        wait_for(spread, f"{holders} holders of {account}")
+        wait_for(spread, f"{entries} holders of {account}")
 
     def stop_all(self) -> list[str]:
         """Stop every process; return the names of those that had to be killed."""
@@ -319,28 +319,28 @@
             process.signal(signal.SIGTERM)
         for process in running:
             try:
-                process.popen.wait(STOP_LIMIT)
+                process.popen.wait(MAX_STOP_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 killed.append(process.name)
         return killed
 
 
-def small_fleet(fleet: Fleet, service_delay: float = 0.0) -> None:
+def start_fleet(fleet: Fleet, service_delay: float = 0.0) -> None:
     """Start stand-ins, three sidecars and two entries, and wait until they serve."""
     fleet.standin("store", "store")
     fleet.standin("engine-1", "engine", "--models=tiny-chat:10:r1")
     fleet.standin("engine-2", "engine", "--models=tiny-chat:10:r1")
     fleet.standin("service-1", "service", f"--delay={service_delay}")
-    fleet.addresses("port", "store", "engine-1", "engine-2", "service-1")
+    fleet.record_urls("port", "store", "engine-1", "engine-2", "service-1")
     for name in ("entry-1", "entry-2"):
         fleet.entry(name)
     fleet.sidecar("e1", "engine-1", "engine")
     fleet.sidecar("e2", "engine-2", "engine")
     fleet.sidecar("s1", "service-1", "service", "ledger")
-    fleet.apply()
-    fleet.issue("fretes")
-    fleet.issue("chapters")
-    fleet.addresses("http", "entry-1", "entry-2")
+    fleet.apply_lists()
+    fleet.issue_key("fretes")
+    fleet.issue_key("chapters")
+    fleet.record_urls("http", "entry-1", "entry-2")
     for name in ("entry-1", "entry-2"):
-        fleet.ready(name, 3)
+        fleet.wait_ready(name, 3)
--- a/scripts/hop_cost.py
+++ b/scripts/hop_cost.py
@@ -16,18 +16,18 @@
 from urllib.parse import urlsplit
 
 from fleet import Fleet
-from path_cost import fleet_lists, spent
+from path_cost import cpu_seconds, unlimited_lists
 
 ENGINES = 6
-STEP = 0.0165
+STEP_S = 0.0165
 """Seconds; with ten streams an engine the stand-in then takes 24 ms a token."""
 TOKENS = 400
 ROUNDS = 2
-GAP = 0.024
+TOKEN_INTERVAL_S = 0.024
 """Seconds for a token; streams start over the time that one takes, so that requests
 come evenly: with 400 tokens, as many a second as an entry gets at the full size."""
-SIZES = (60,)
-TIMEOUT = 120.0
+STREAM_COUNTS = (60,)
+TIMEOUT_S = 120.0
 
 
 @dataclass
@@ -40,50 +40,50 @@
 
 
 def stream(
-    url: str, headers: dict[str, str], words: str, tokens: int, timing: Timing
+    url: str, headers: dict[str, str], prompt: str, tokens: int, timing: Timing
 ) -> None:
     """Run one stream and note the time of each token."""
     address = urlsplit(url)
-    conn = HTTPConnection(address.hostname, address.port, timeout=TIMEOUT)
-    messages = [{"role": "user", "content": words}]
+    conn = HTTPConnection(address.hostname, address.port, timeout=TIMEOUT_S)
+    messages = [{"role": "user", "content": prompt}]
     body = {"model": "tiny-chat", "messages": messages, "stream": True}
-    last = began = time.monotonic()
+    last_at = began = time.monotonic()
     body["max_tokens"] = tokens
     conn.request("POST", "/v1/chat/completions", json.dumps(body), headers)
     answer = conn.getresponse()
-    seen, whole = 0, False
+    seen, complete = 0, False
     for line in answer:
         if b'"content"' in line:
             now = time.monotonic()
             (timing.gaps if seen else timing.first).append(
-                now - (last if seen else began)
+                now - (last_at if seen else began)
             )
-            seen, last = seen + 1, now
-        whole = whole or line.startswith(b"data: [DONE]")
-    timing.broken += not whole or seen != tokens
+            seen, last_at = seen + 1, now
+        complete = complete or line.startswith(b"data: [DONE]")
+    timing.broken += not complete or seen != tokens
     conn.close()
 
 
-def play(
+def run_streams(
     urls: Sequence[str], headers: dict[str, str], streams: int, tokens: int
 ) -> Timing:
     """Run so many streams at once, a few times over."""
     timing = Timing()
 
-    def one(number: int) -> None:
-        time.sleep(tokens * GAP * number / streams)
+    def call_repeatedly(number: int) -> None:
+        time.sleep(tokens * TOKEN_INTERVAL_S * number / streams)
         url = urls[number % len(urls)]
         for _ in range(ROUNDS):
             stream(url, headers, f"slot {number}", tokens, timing)
 
     with ThreadPoolExecutor(streams) as callers:
-        list(callers.map(one, range(streams)))
+        list(callers.map(call_repeatedly, range(streams)))
     return timing
 
 
-def p(values: Sequence[float], part: float) -> float:
+def pctl(values: Sequence[float], share: float) -> float:
     """Return a percentile in milliseconds."""
-    return 1000 * sorted(values)[int(part * (len(values) - 1))]
+    return 1000 * sorted(values)[int(share * (len(values) - 1))]
 
 
 def start(fleet: Fleet) -> None:
@@ -91,36 +91,36 @@
     fleet.standin("store", "store")
     names = [f"engine-{number}" for number in range(ENGINES)]
     for name in names:
-        fleet.standin(name, "engine", "--models=tiny-chat:10:r1", f"--step={STEP}")
-    fleet.addresses("port", "store", *names)
+        fleet.standin(name, "engine", "--models=tiny-chat:10:r1", f"--step={STEP_S}")
+    fleet.record_urls("port", "store", *names)
     fleet.entry("entry-1")
     for number, name in enumerate(names):
         fleet.sidecar(f"e{number}", name, "engine")
-    fleet.apply(*fleet_lists())
-    fleet.issue("fretes")
-    fleet.addresses("http", "entry-1")
-    fleet.ready("entry-1", ENGINES)
+    fleet.apply_lists(*unlimited_lists())
+    fleet.issue_key("fretes")
+    fleet.record_urls("http", "entry-1")
+    fleet.wait_ready("entry-1", ENGINES)
 
 
-def show(way: str, streams: int, timing: Timing, seconds: float, core: float) -> None:
+def show(path: str, streams: int, timing: Timing, seconds: float, core: float) -> None:
     """Print one row."""
     first, gaps = timing.first, timing.gaps
     rate = (len(first) + len(gaps)) / seconds
-    cells = (p(first, 0.5), p(first, 0.95), p(gaps, 0.5), p(gaps, 0.95))
+    cells = (pctl(first, 0.5), pctl(first, 0.95), pctl(gaps, 0.5), pctl(gaps, 0.95))
     text = " | ".join(f"{cell:.1f}" for cell in cells)
-    row = f"| {way} | {streams} | {rate:.0f} | {text} | {core:.0f} | {timing.broken} |"
+    row = f"| {path} | {streams} | {rate:.0f} | {text} | {core:.0f} | {timing.broken} |"
     print(row, flush=True)
 
 
 def main(args: list[str]) -> int:
     """Measure each size; return 0 when every stream was whole."""
-    sizes = tuple(int(part) for part in args[0].split(",")) if args else SIZES
+    counts = tuple(int(part) for part in args[0].split(",")) if args else STREAM_COUNTS
     tokens = int(args[1]) if len(args) > 1 else TOKENS
     fleet, broken = Fleet(), 0
     try:
         start(fleet)
         engines = [fleet.urls[f"engine-{number}"] for number in range(ENGINES)]
-        ways = {
+        paths = {
             "direct": (engines, {}),
             "through": (
                 [fleet.urls["entry-1"]],
@@ -132,13 +132,13 @@
             end="",
         )
         print(" entry core % | broken |\n|" + " --- |" * 9)
-        for streams in sizes:
-            for way, (urls, headers) in ways.items():
-                before, began = spent(fleet, "entry-1"), time.monotonic()
-                timing = play(urls, headers, streams, tokens)
+        for streams in counts:
+            for path, (urls, headers) in paths.items():
+                used, began = cpu_seconds(fleet, "entry-1"), time.monotonic()
+                timing = run_streams(urls, headers, streams, tokens)
                 seconds = time.monotonic() - began
-                core = 100 * (spent(fleet, "entry-1") - before) / seconds
-                show(way, streams, timing, seconds, core)
+                core = 100 * (cpu_seconds(fleet, "entry-1") - used) / seconds
+                show(path, streams, timing, seconds, core)
                 broken += timing.broken
     finally:
         fleet.stop_all()
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -3,23 +3,23 @@
 import sys
 from pathlib import Path
 
-LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST = 4
+LIST_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_ENTRIES = 4
 
 
 def known_red() -> list[str]:
     """Return the listed lines, without blank ones and comments."""
-    if not LIST.exists():
+    if not LIST_FILE.exists():
         return []
-    lines = LIST.read_text(encoding="utf-8").splitlines()
+    lines = LIST_FILE.read_text(encoding="utf-8").splitlines()
     return [line for line in lines if line.strip() and not line.startswith("#")]
 
 
 def main(args: list[str]) -> int:
     """Print the list, or with ``--names`` only the names of the tests."""
     lines = known_red()
-    if len(lines) > MOST:
-        print(f"KNOWN-RED.txt has {len(lines)} lines; {MOST} at most")
+    if len(lines) > MAX_ENTRIES:
+        print(f"KNOWN-RED.txt has {len(lines)} lines; {MAX_ENTRIES} at most")
         return 1
     for line in lines:
         print(line.split()[0] if "--names" in args else f"known red: {line}")
--- a/scripts/measure_config.py
+++ b/scripts/measure_config.py
@@ -26,33 +26,33 @@
 from persimmonhitch.catalog.election import ranked
 from persimmonhitch.ids import Vm
 
-LINE = re.compile(r"ts=(\S+) event=config_in_force version=(\d+)")
-TICKS = os.sysconf("SC_CLK_TCK")
+IN_FORCE_LINE = re.compile(r"ts=(\S+) event=config_in_force version=(\d+)")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 def times(log: Path) -> dict[int, float]:
     """Return when each version came into force, from an entry's log."""
-    found = LINE.findall(log.read_text())
-    return {int(v): datetime.fromisoformat(ts).timestamp() for ts, v in found}
+    matches = IN_FORCE_LINE.findall(log.read_text())
+    return {int(v): datetime.fromisoformat(ts).timestamp() for ts, v in matches}
 
 
-def processor(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Return the seconds of processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def start(fleet: Fleet, names: list[str], cut: int) -> Relay:
     """Start a store and entries, and wait until all are linked."""
     fleet.standin("store", "store")
-    fleet.addresses("port", "store")
+    fleet.record_urls("port", "store")
     relay = Relay(int(fleet.urls["store"].rpartition(":")[2]))
     fleet.urls["relay"] = f"http://127.0.0.1:{relay.port}"
-    behind = set(ranked("r1", [Vm(name) for name in names])[:cut])
+    relayed = set(ranked("r1", [Vm(name) for name in names])[:cut])
     for name in names:
-        fleet.entry(name, store="relay" if name in behind else "store")
-    fleet.addresses("http", *names)
-    fleet.apply()
+        fleet.entry(name, store="relay" if name in relayed else "store")
+    fleet.record_urls("http", *names)
+    fleet.apply_lists()
     for name in names:
         log = fleet.processes[name].log
         wait_for(
@@ -61,24 +61,24 @@
             ),
             "links",
         )
-        fleet.ready(name, 0)
+        fleet.wait_ready(name, 0)
     return relay
 
 
-def delays(fleet: Fleet, names: list[str], changes: int) -> list[float]:
+def measure_delays(fleet: Fleet, names: list[str], changes: int) -> list[float]:
     """Return for each change the seconds until the last entry had it."""
     committed = {}
-    for turn in range(changes):
-        fleet.issue(("fretes", "chapters")[turn % 2])
-        committed[turn + 2] = time.time()
+    for index in range(changes):
+        fleet.issue_key(("fretes", "chapters")[index % 2])
+        committed[index + 2] = time.time()
         time.sleep(0.5)
     logs = [fleet.processes[name].log for name in names]
     wait_for(lambda: all(changes + 1 in times(log) for log in logs), "the last change")
-    seen = [times(log) for log in logs]
-    return [max(each[v] for each in seen) - at for v, at in committed.items()]
+    by_entry = [times(log) for log in logs]
+    return [max(each[v] for each in by_entry) - at for v, at in committed.items()]
 
 
-def calls(fleet: Fleet) -> dict[str, int]:
+def store_calls(fleet: Fleet) -> dict[str, int]:
     """Return how often each call of the store was made."""
     return fleet.http.request("GET", fleet.urls["store"] + "/calls").json()
 
@@ -90,22 +90,22 @@
     with Fleet() as fleet:
         relay = start(fleet, names, int(args["--cut"]))
         relay.set_cut(True)
-        found = sorted(delays(fleet, names, int(args["--changes"])))
-        print(f"entries {len(names)}, changes {len(found)}")
-        print(f"in force everywhere after: median {statistics.median(found):.3f} s, ")
-        print(f"  worst {found[-1]:.3f} s (from the answer to the operator)")
+        delays = sorted(measure_delays(fleet, names, int(args["--changes"])))
+        print(f"entries {len(names)}, changes {len(delays)}")
+        print(f"in force everywhere after: median {statistics.median(delays):.3f} s, ")
+        print(f"  worst {delays[-1]:.3f} s (from the answer to the operator)")
         pids = [fleet.processes[name].popen.pid for name in names]
-        before, used = calls(fleet), [processor(pid) for pid in pids]
+        before, used = store_calls(fleet), [cpu_seconds(pid) for pid in pids]
         idle = float(args["--idle"])
         time.sleep(idle)
-        after = calls(fleet)
-        share = [(processor(p) - u) / idle for p, u in zip(pids, used, strict=True)]
+        after = store_calls(fleet)
+        shares = [(cpu_seconds(p) - u) / idle for p, u in zip(pids, used, strict=True)]
         rates = {call: (after[call] - before.get(call, 0)) / idle for call in after}
         shown = ", ".join(f"{call} {rate:.2f}" for call, rate in rates.items())
         print(f"store calls a second without changes: {shown}")
         print(
-            f"processor of an entry, whole process: mean {statistics.mean(share):.4f}"
-            f", most {max(share):.4f} of a core"
+            f"processor of an entry, whole process: mean {statistics.mean(shares):.4f}"
+            f", most {max(shares):.4f} of a core"
         )
     return 0
 
--- a/scripts/path_cost.py
+++ b/scripts/path_cost.py
@@ -16,27 +16,27 @@
 
 from persimmonhitch.slopes.base import Reading, Slope, render
 
-TICK = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-SIZES = (1, 10, 50, 200)
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+TOKEN_COUNTS = (1, 10, 50, 200)
 REQUESTS = 200
 CALLERS = 8
-IDLE = 10.0
+IDLE_S = 10.0
 PROCESSES = ("entry-1", "sidecar-e1")
-UNIT = "tokens a request"
+SIZE_UNIT = "tokens a request"
 
 
-def spent(fleet: Fleet, name: str) -> float:
+def cpu_seconds(fleet: Fleet, name: str) -> float:
     """Return the processor seconds that a process has used."""
     stat = Path(f"/proc/{fleet.processes[name].popen.pid}/stat").read_text()
     fields = stat.rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def memory(fleet: Fleet, name: str) -> float:
+def memory_mib(fleet: Fleet, name: str) -> float:
     """Return the resident memory of a process in MiB."""
     path = Path(f"/proc/{fleet.processes[name].popen.pid}/statm")
-    return int(path.read_text().split()[1]) * PAGE / 2**20
+    return int(path.read_text().split()[1]) * PAGE_BYTES / 2**20
 
 
 def start(fleet: Fleet) -> None:
@@ -44,17 +44,17 @@
     fleet.standin("store", "store")
     options = ("--models=tiny-chat:10:r1", "--step=0.001")
     fleet.standin("engine-1", "engine", *options)
-    fleet.addresses("port", "store", "engine-1")
+    fleet.record_urls("port", "store", "engine-1")
     fleet.entry("entry-1")
     fleet.sidecar("e1", "engine-1", "engine")
-    raised = fleet_lists()
-    fleet.apply(*raised)
-    fleet.issue("fretes")
-    fleet.addresses("http", "entry-1")
-    fleet.ready("entry-1", 1)
+    lists = unlimited_lists()
+    fleet.apply_lists(*lists)
+    fleet.issue_key("fretes")
+    fleet.record_urls("http", "entry-1")
+    fleet.wait_ready("entry-1", 1)
 
 
-def fleet_lists() -> tuple[str, str]:
+def unlimited_lists() -> tuple[str, str]:
     """Return lists whose one account is never short of tokens."""
     accounts = "[account fretes]\nplan = desk\n"
     plans = (
@@ -68,51 +68,51 @@
 def measure(fleet: Fleet, tokens: int) -> Reading:
     """Send the requests of one size and read what was spent."""
 
-    def one(number: int) -> bool:
-        words = f"slot {number}"
-        reply = fleet.chat("entry-1", "fretes", words, tokens, stream=True)
+    def call(number: int) -> bool:
+        prompt = f"slot {number}"
+        reply = fleet.chat("entry-1", "fretes", prompt, tokens, stream=True)
         return reply.status == 200 and reply.body.endswith(b"data: [DONE]\n\n")
 
-    before = {name: spent(fleet, name) for name in PROCESSES}
+    before = {name: cpu_seconds(fleet, name) for name in PROCESSES}
     began = time.monotonic()
     with ThreadPoolExecutor(CALLERS) as callers:
-        good = sum(callers.map(one, range(REQUESTS)))
+        succeeded = sum(callers.map(call, range(REQUESTS)))
     seconds = time.monotonic() - began
-    cost = [spent(fleet, name) - before[name] for name in PROCESSES]
+    cost = [cpu_seconds(fleet, name) - before[name] for name in PROCESSES]
     return Reading(
         tokens,
         (
-            ("good", good),
+            ("good", succeeded),
             ("requests/s", REQUESTS / seconds),
             ("entry ms", 1000 * cost[0] / REQUESTS),
             ("sidecar ms", 1000 * cost[1] / REQUESTS),
-            ("entry MiB", memory(fleet, "entry-1")),
-            ("sidecar MiB", memory(fleet, "sidecar-e1")),
+            ("entry MiB", memory_mib(fleet, "entry-1")),
+            ("sidecar MiB", memory_mib(fleet, "sidecar-e1")),
         ),
     )
 
 
-def idle(fleet: Fleet) -> None:
+def print_idle(fleet: Fleet) -> None:
     """Print what the processes spend and hold with nothing to do."""
-    before = {name: spent(fleet, name) for name in PROCESSES}
-    time.sleep(IDLE)
+    before = {name: cpu_seconds(fleet, name) for name in PROCESSES}
+    time.sleep(IDLE_S)
     for name in PROCESSES:
-        core = 100 * (spent(fleet, name) - before[name]) / IDLE
-        print(f"idle {name}: {core:.2f}% of a core, {memory(fleet, name):.1f} MiB")
+        core = 100 * (cpu_seconds(fleet, name) - before[name]) / IDLE_S
+        print(f"idle {name}: {core:.2f}% of a core, {memory_mib(fleet, name):.1f} MiB")
 
 
 def main(args: list[str]) -> int:
     """Measure each size; return 0 when every answer was right."""
-    sizes = tuple(int(part) for part in args[0].split(",")) if args else SIZES
+    counts = tuple(int(part) for part in args[0].split(",")) if args else TOKEN_COUNTS
     fleet = Fleet()
     try:
         start(fleet)
-        idle(fleet)
+        print_idle(fleet)
         measure(fleet, 1)
-        readings = [measure(fleet, tokens) for tokens in sizes]
+        readings = [measure(fleet, tokens) for tokens in counts]
     finally:
         fleet.stop_all()
-    print(render(Slope(UNIT, sizes, lambda _sizes: iter(())), readings))
+    print(render(Slope(SIZE_UNIT, counts, lambda _sizes: iter(())), readings))
     return 0 if all(dict(r.figures)["good"] == REQUESTS for r in readings) else 1
 
 
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -16,11 +16,11 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-LIMIT = 180.0
-COPIED = ("src", "tests", "scripts", "examples", "pyproject.toml")
+TIMEOUT_S = 180.0
+COPIED_PATHS = ("src", "tests", "scripts", "examples", "pyproject.toml")
 
 
-def mutate(tree: Path, edits: list[dict[str, str]]) -> None:
+def apply_edits(tree: Path, edits: list[dict[str, str]]) -> None:
     """Make the edits; each must match exactly once, or it proves nothing."""
     for edit in edits:
         path = tree / "src" / "persimmonhitch" / edit["file"]
@@ -30,28 +30,28 @@
         path.write_text(text.replace(edit["old"], edit["new"]))
 
 
-def run(tree: Path, test: str) -> bool:
+def test_passes(tree: Path, test: str) -> bool:
     """Return whether a test passes in a tree."""
     command = [sys.executable, "-m", "pytest", "-x", "-p", "no:cacheprovider", test]
     env = {**os.environ, "PYTHONPATH": str(tree / "src"), "UPDATE_GOLDEN": ""}
-    done = subprocess.run(
-        command, cwd=tree, env=env, capture_output=True, timeout=LIMIT, check=False
+    completed = subprocess.run(
+        command, cwd=tree, env=env, capture_output=True, timeout=TIMEOUT_S, check=False
     )
-    return done.returncode == 0
+    return completed.returncode == 0
 
 
-def prove(case: dict) -> str:
+def run_case(case: dict) -> str:
     """Return the line that tells how a mutation went."""
     with tempfile.TemporaryDirectory() as folder:
         tree = Path(folder)
-        for name in COPIED:
+        for name in COPIED_PATHS:
             source = ROOT / name
             if source.is_dir():
                 shutil.copytree(source, tree / name)
             else:
                 shutil.copy(source, tree / name)
-        mutate(tree, case["edit"])
-        passed = run(tree, case["test"])
+        apply_edits(tree, case["edit"])
+        passed = test_passes(tree, case["test"])
     verdict = "STILL PASSES" if passed else "fails"
     return f"{case['point']:>2} {verdict:12} {case['test']} without: {case['without']}"
 
@@ -63,7 +63,7 @@
     lines = []
     for case in cases:
         if not points or str(case["point"]) in points:
-            lines.append(prove(case))
+            lines.append(run_case(case))
             print(lines[-1], flush=True)
     return 1 if any("STILL PASSES" in line for line in lines) else 0
 
--- a/scripts/relay.py
+++ b/scripts/relay.py
@@ -11,10 +11,10 @@
 
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
 """Linger of no time: a close then resets the connection."""
-BLOCK: Final = 65536
+BLOCK_BYTES: Final = 65536
 
 
-class Way(Enum):
+class Direction(Enum):
     """Direction in which bytes pass."""
 
     IN = "in"
@@ -27,7 +27,7 @@
     client: socket.socket
     server: socket.socket
     muted: threading.Event = field(default_factory=threading.Event)
-    ended: int = 0
+    closed_directions: int = 0
     """Ways on which no more bytes come."""
 
     def reset(self) -> None:
@@ -51,9 +51,9 @@
         self.target = (host, port)
         self.cut = False
         self.delay = 0.0
-        self._free = {way: threading.Event() for way in Way}
-        self.free()
-        self._open: set[_Pair] = set()
+        self._flowing = {direction: threading.Event() for direction in Direction}
+        self.resume()
+        self._pairs: set[_Pair] = set()
         self._listener = socket.create_server((host, 0))
         self.port = self._listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
@@ -61,30 +61,30 @@
     def set_cut(self, cut: bool) -> None:
         """Cut the way, with what is open on it, or mend it."""
         self.cut = cut
-        for pair in list(self._open) if cut else ():
+        for pair in list(self._pairs) if cut else ():
             for sock in (pair.client, pair.server):
                 with contextlib.suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
 
-    def stall(self, *ways: Way) -> None:
+    def stall(self, *directions: Direction) -> None:
         """Hold back the bytes of some ways, of new connections too."""
-        for way in ways or Way:
-            self._free[way].clear()
+        for direction in directions or Direction:
+            self._flowing[direction].clear()
 
-    def free(self) -> None:
+    def resume(self) -> None:
         """Let bytes pass again, without delay."""
         self.delay = 0.0
-        for event in self._free.values():
+        for event in self._flowing.values():
             event.set()
 
     def mute(self) -> None:
         """Let open connections go silent for good; new ones work."""
-        for pair in list(self._open):
+        for pair in list(self._pairs):
             pair.muted.set()
 
     def reset(self) -> None:
         """Reset all open connections."""
-        for pair in list(self._open):
+        for pair in list(self._pairs):
             pair.reset()
 
     def close(self) -> None:
@@ -116,30 +116,30 @@
         for sock in (client, server):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         pair = _Pair(client, server)
-        self._open.add(pair)
-        args = (pair, server, client, Way.OUT)
-        threading.Thread(target=self._pass, args=args, daemon=True).start()
-        self._pass(pair, client, server, Way.IN)
+        self._pairs.add(pair)
+        args = (pair, server, client, Direction.OUT)
+        threading.Thread(target=self._forward, args=args, daemon=True).start()
+        self._forward(pair, client, server, Direction.IN)
 
-    def _pass(
-        self, pair: _Pair, source: socket.socket, sink: socket.socket, way: Way
+    def _forward(
+        self, pair: _Pair, src: socket.socket, dst: socket.socket, direction: Direction
     ) -> None:
         try:
-            while data := source.recv(BLOCK):
+            while data := src.recv(BLOCK_BYTES):
                 time.sleep(self.delay)
-                self._free[way].wait()
+                self._flowing[direction].wait()
                 if not pair.muted.is_set():
-                    sink.sendall(data)
-            self._free[way].wait()
+                    dst.sendall(data)
+            self._flowing[direction].wait()
             if not pair.muted.is_set():
-                sink.shutdown(socket.SHUT_WR)
+                dst.shutdown(socket.SHUT_WR)
         except ConnectionResetError:
             pair.reset()
         except OSError:
             with contextlib.suppress(OSError):
-                sink.shutdown(socket.SHUT_RDWR)
-        pair.ended += 1
-        if pair.ended == len(Way):
-            self._open.discard(pair)
+                dst.shutdown(socket.SHUT_RDWR)
+        pair.closed_directions += 1
+        if pair.closed_directions == len(Direction):
+            self._pairs.discard(pair)
             pair.client.close()
             pair.server.close()
--- a/scripts/settings_tables.py
+++ b/scripts/settings_tables.py
@@ -26,8 +26,8 @@
     text = (ROOT / "pyproject.toml").read_text(encoding="utf-8")
     scripts = tomllib.loads(text)["project"]["scripts"]
     packages = (target.split(".")[1] for target in scripts.values())
-    found = "persimmonhitch.{}.settings".format
-    return tuple(p for p in packages if find_spec(found(p)) is not None)
+    module_name = "persimmonhitch.{}.settings".format
+    return tuple(name for name in packages if find_spec(module_name(name)) is not None)
 
 
 def settings_table(program: str) -> str:
@@ -45,24 +45,24 @@
     return "\n".join(rows)
 
 
-def tables() -> dict[str, Callable[[], str]]:
+def table_renderers() -> dict[str, Callable[[], str]]:
     """Return what makes each table, by its name in the page."""
-    made: dict[str, Callable[[], str]] = {"metrics": metrics_table}
+    renderers: dict[str, Callable[[], str]] = {"metrics": metrics_table}
     for program in programs():
-        made[program] = lambda program=program: settings_table(program)
-    return made
+        renderers[program] = lambda program=program: settings_table(program)
+    return renderers
 
 
-def regenerated(page: str) -> str:
+def regenerate(page: str) -> str:
     """Return the page with every table made anew."""
-    made = tables()
-    return BLOCK.sub(lambda m: f"{m[1]}{made[m[2]]()}\n{m[3]}", page)
+    renderers = table_renderers()
+    return BLOCK.sub(lambda m: f"{m[1]}{renderers[m[2]]()}\n{m[3]}", page)
 
 
 def main(args: list[str]) -> int:
     """Write the page, or compare it."""
     old = PAGE.read_text(encoding="utf-8")
-    new = regenerated(old)
+    new = regenerate(old)
     if "--check" in args:
         return 0 if old == new else 1
     PAGE.write_text(new, encoding="utf-8")
--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -37,20 +37,20 @@
         self.models = {Model(name): set() for name in models}
         for name in adapters:
             self.models[Model(models[0])].add(Adapter(name))
-        self.orders = 0
-        self.busy_until = 0.0
+        self.sequence = 0
+        self.loaded_at = 0.0
         self.loading = None
-        self.overfull = []
+        self.over_capacity = []
         self.log = []
-        self.running = set()
+        self.in_use = set()
         """Adapters that calls use: their unload waits for these to end."""
-        self.ending = set()
-        self.leaving = set()
+        self.unloading_adapters = set()
+        self.unloading = set()
         """Models whose unload waits for the calls that use them."""
         self.lose_answers = 0
         self.load_time = 1.7
         self.on_disk = set()
-        self.late = []
+        self.delayed_orders = []
         self.record = UpstreamRecord(
             Upstream("e1"),
             Service("llm"),
@@ -63,98 +63,98 @@
             None,
         )
 
-    def _settle(self):
-        if self.loading is not None and self.clock() >= self.busy_until:
+    def _apply_finished(self):
+        if self.loading is not None and self.clock() >= self.loaded_at:
             self.models[self.loading] = set()
             self.loading = None
 
-    def _places(self):
+    def _used_slots(self):
         return sum(len(names) for names in self.models.values())
 
     def send_order(self, _record, order, order_count, _epoch):
-        self._settle()
+        self._apply_finished()
         self.log.append((order, order_count))
         if self.lose_answers:
             self.lose_answers -= 1
-            self.late.append((order, order_count))
+            self.delayed_orders.append((order, order_count))
             return OrderOutcome.UNKNOWN
-        return self.take(order, order_count)
+        return self.execute(order, order_count)
 
-    def run_late(self):
-        for order, orders in self.late:
-            self.take(order, orders)
-        self.late = []
+    def deliver_delayed(self):
+        for order, expected in self.delayed_orders:
+            self.execute(order, expected)
+        self.delayed_orders = []
 
-    def take(self, order, orders):
-        if orders != self.orders or self.loading is not None or self.leaving:
+    def execute(self, order, expected):
+        if expected != self.sequence or self.loading is not None or self.unloading:
             return OrderOutcome.CONFLICT
-        self.orders += 1
+        self.sequence += 1
         if order.adapter is not None:
-            return self._adapter(order)
-        return self._model(order)
+            return self._execute_for_adapter(order)
+        return self._execute_for_model(order)
 
-    def _adapter(self, order):
-        held = self.models[order.model]
+    def _execute_for_adapter(self, order):
+        adapters = self.models[order.model]
         if not order.load:
-            if order.adapter in self.running:
-                self.ending.add(order.adapter)
+            if order.adapter in self.in_use:
+                self.unloading_adapters.add(order.adapter)
                 return OrderOutcome.ACCEPTED
-            held.discard(order.adapter)
+            adapters.discard(order.adapter)
             return OrderOutcome.ALREADY_DONE
-        if self._places() >= SPEC.adapter_slots:
-            self.overfull.append(order)
-        held.add(order.adapter)
+        if self._used_slots() >= SPEC.adapter_slots:
+            self.over_capacity.append(order)
+        adapters.add(order.adapter)
         return OrderOutcome.ACCEPTED
 
-    def _model(self, order):
+    def _execute_for_model(self, order):
         if not order.load:
-            if order.model in self.running:
-                self.leaving.add(order.model)
+            if order.model in self.in_use:
+                self.unloading.add(order.model)
             else:
                 self.models.pop(order.model, None)
             return OrderOutcome.ACCEPTED
         memory = sum(SPECS[name].memory_mb for name in self.models)
         if memory + SPECS[order.model].memory_mb > SPEC.memory_mb:
-            self.overfull.append(order)
-        self.loading, self.busy_until = order.model, self.clock() + self.load_time
+            self.over_capacity.append(order)
+        self.loading, self.loaded_at = order.model, self.clock() + self.load_time
         return OrderOutcome.ACCEPTED
 
-    def end_runs(self):
-        for held in self.models.values():
-            held -= self.ending
-        for model in self.leaving:
+    def finish_requests(self):
+        for adapters in self.models.values():
+            adapters -= self.unloading_adapters
+        for model in self.unloading:
             self.models.pop(model, None)
-        self.leaving = set()
-        self.running, self.ending = set(), set()
+        self.unloading = set()
+        self.in_use, self.unloading_adapters = set(), set()
 
     def get_report(self, _record):
-        self._settle()
+        self._apply_finished()
         models = {name: frozenset(names) for name, names in self.models.items()}
-        busy = self.loading is not None or bool(self.leaving)
+        busy = self.loading is not None or bool(self.unloading)
         return Success(
             EngineInventory(
-                self.orders, models, on_disk=frozenset(self.on_disk), busy=busy
+                self.sequence, models, on_disk=frozenset(self.on_disk), busy=busy
             )
         )
 
 
-class DeadEngine(FakeEngine):
+class UnreachableEngine(FakeEngine):
     """Answers nothing."""
 
     def get_report(self, _record):
         return Err("refused")
 
 
-def desk_of(engine, clock, in_use=lambda *_: False, epoch=lambda: Epoch(1)):
+def controller_of(engine, clock, in_use=lambda *_: False, epoch=lambda: Epoch(1)):
     """Return a desk for an engine, and what it published."""
-    told = []
-    desk = EngineController(
+    published = []
+    controller = EngineController(
         EngineState(engine.record, SPEC),
         engine,
         epoch,
-        lambda d: told.append((clock(), sorted(d.engine.inventory.models))),
+        lambda d: published.append((clock(), sorted(d.engine.inventory.models))),
         in_use,
         clock,
         clock.sleep,
     )
-    return desk, told
+    return controller, published
--- a/tests/golden_session.py
+++ b/tests/golden_session.py
@@ -17,19 +17,19 @@
         self._path = FOLDER / f"{name}.txt"
         self._lines: list[str] = []
 
-    def note(self, *words: object) -> None:
+    def add(self, *words: object) -> None:
         """Add one line."""
         self._lines.append(" ".join(str(word) for word in words))
 
-    def reply(self, step: str, reply) -> None:
+    def add_reply(self, step: str, reply) -> None:
         """Add what a caller got: status, and code and verdict of an error."""
         error = reply.json().get("error") if reply.body.startswith(b"{") else None
         if error is None:
-            self.note(f"{step}:", reply.status)
+            self.add(f"{step}:", reply.status)
             return
         back = "" if error["retry_after_s"] is None else "come back"
         words = [reply.status, error["code"], error["verdict"], back]
-        self.note(f"{step}:", *[word for word in words if word])
+        self.add(f"{step}:", *[word for word in words if word])
 
     def check(self) -> None:
         """Compare with the golden file."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -28,11 +28,11 @@
 
 from soak.run import Size, soak
 
-SHOWN = 20
+MAX_SHOWN = 20
 """Broken promises of a seed that are printed; the rest is in its folder."""
 
 
-def play(seed, args):
+def run_seed(seed, args):
     """Play one seed here; return 1 if a promise was broken."""
     size = Size(
         float(args["--seconds"]),
@@ -42,19 +42,19 @@
         int(args["--ledgers"]),
         int(args["--callers"]),
     )
-    found = soak(seed, size, Path(args["--keep"]))
-    print("\n  ".join([f"seed {seed}: {found.summary()}", *found.broken[:SHOWN]]))
-    return 1 if found.broken else 0
+    run = soak(seed, size, Path(args["--keep"]))
+    print("\n  ".join([f"seed {seed}: {run.summary()}", *run.failures[:MAX_SHOWN]]))
+    return 1 if run.failures else 0
 
 
-def play_apart(seed, args):
+def run_in_subprocess(seed, args):
     """Play one seed in a process of its own."""
     names = ("seconds", "gap", "entries", "engines", "ledgers", "callers", "keep")
     options = [f"--{name}={args[f'--{name}']}" for name in names]
     command = [sys.executable, "-m", "soak", f"--seeds={seed}", *options]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    print((done.stdout + done.stderr).rstrip(), flush=True)
-    return done.returncode
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    print((completed.stdout + completed.stderr).rstrip(), flush=True)
+    return completed.returncode
 
 
 def main(argv=None):
@@ -62,10 +62,10 @@
     args = docopt(__doc__, argv)
     first, _, last = args["--seeds"].partition("-")
     if not last:
-        return play(int(first), args)
+        return run_seed(int(first), args)
     seeds = range(int(first), int(last) + 1)
     with ThreadPoolExecutor(int(args["--jobs"])) as pool:
-        codes = list(pool.map(lambda seed: play_apart(seed, args), seeds))
+        codes = list(pool.map(lambda seed: run_in_subprocess(seed, args), seeds))
     failed = [seed for seed, code in zip(seeds, codes, strict=True) if code]
     print(f"{len(seeds)} seeds, {len(failed)} failed: {failed}")
     return 1 if failed else 0
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -9,20 +9,20 @@
 
 from soak.platform import ADAPTERS, HOST, MODELS
 from soak.records import Call
-from soak.upstreams import EVENTS, answer_of, event_of
+from soak.upstreams import EVENT_COUNT, answer_body, event_bytes
 
-KINDS = {"read": 0.25, "book": 0.3, "chat": 0.35, "version": 0.1}
-ACCOUNTS = {"large": 0.45, "small": 0.4, "plain": 0.15}
-NEW_CONNECTION = 0.15
-LEAVES = 0.04
-WITHDRAWN_KEY = 0.04
+KIND_WEIGHTS = {"read": 0.25, "book": 0.3, "chat": 0.35, "version": 0.1}
+ACCOUNT_WEIGHTS = {"large": 0.45, "small": 0.4, "plain": 0.15}
+RECONNECT_RATE = 0.15
+ABANDON_RATE = 0.04
+REVOKED_KEY_RATE = 0.04
 UNKNOWN_KEY = 0.01
-PAUSE = 0.12
+MEAN_PAUSE_S = 0.12
 """Mean seconds between two requests of a caller."""
-OVERDUE = 3.0
+EXTRA_WAIT_S = 3.0
 """Seconds beyond its patience for which a caller still listens, to see what comes."""
-ASK_EVERY, MISSES = 0.3, 2
-WITHDRAWN = "withdrawn"
+PROBE_INTERVAL_S, MISS_LIMIT = 0.3, 2
+REVOKED = "withdrawn"
 UNKNOWN = "unknown"
 
 
@@ -38,16 +38,16 @@
     def stop(self):
         self._stopped.set()
 
-    def ready(self):
+    def ready_entries(self):
         """Return the entries in rotation; all of them if there are none."""
-        found = [e for e, missed in self._misses.items() if missed < MISSES]
-        return found or list(self._entries)
+        ready = [e for e, missed in self._misses.items() if missed < MISS_LIMIT]
+        return ready or list(self._entries)
 
     def _run(self):
-        while not self._stopped.wait(ASK_EVERY):
+        while not self._stopped.wait(PROBE_INTERVAL_S):
             for entry in self._entries:
-                good = entry.is_ready()
-                self._misses[entry] = 0 if good else self._misses[entry] + 1
+                ready = entry.is_ready()
+                self._misses[entry] = 0 if ready else self._misses[entry] + 1
 
 
 class Caller(threading.Thread):
@@ -68,110 +68,110 @@
         self.body = b"hello"
 
     def run(self):
-        while not self._stopped.wait(self._rng.expovariate(1 / PAUSE)):
-            self._call()
-        self._drop()
+        while not self._stopped.wait(self._rng.expovariate(1 / MEAN_PAUSE_S)):
+            self._send_request()
+        self._disconnect()
 
-    def _drop(self):
+    def _disconnect(self):
         if self._conn is not None:
             self._conn.close()
             self._conn = None
 
-    def _pick(self, weights):
+    def _choose(self, weights):
         return self._rng.choices(list(weights), list(weights.values()))[0]
 
-    def _connect(self, patience):
+    def _connect(self, timeout_s):
         """Keep the open connection, or open one to an entry that takes new ones."""
-        if self._conn is not None and self._rng.random() >= NEW_CONNECTION:
+        if self._conn is not None and self._rng.random() >= RECONNECT_RATE:
             return
-        self._drop()
-        self._entry = self._rng.choice(self._balancer.ready())
-        limit = patience + OVERDUE
+        self._disconnect()
+        self._entry = self._rng.choice(self._balancer.ready_entries())
+        limit = timeout_s + EXTRA_WAIT_S
         self._conn = http.client.HTTPConnection(
             "127.0.0.1", self._entry.port, timeout=limit
         )
 
-    def _key(self, account):
+    def _choose_key(self, account):
         draw = self._rng.random()
-        withdrawn = sorted(self._operator.revoked)
-        if draw < WITHDRAWN_KEY and withdrawn:
-            return self._rng.choice(withdrawn), WITHDRAWN
+        revoked = sorted(self._operator.revoked_in)
+        if draw < REVOKED_KEY_RATE and revoked:
+            return self._rng.choice(revoked), REVOKED
         if draw > 1 - UNKNOWN_KEY:
             return "nobody's-key", UNKNOWN
         # The last key of the list is the next to be withdrawn.
         return self._rng.choice(self._operator.keys[account][:2]), account
 
-    def _draw(self):
+    def _choose_request(self):
         """Return the kind and account of the next call."""
-        return self._pick(KINDS), self._pick(ACCOUNTS)
+        return self._choose(KIND_WEIGHTS), self._choose(ACCOUNT_WEIGHTS)
 
-    def _call(self):
-        kind, account = self._draw()
-        patience = 4.0 if kind == "chat" else 1.5
-        self._connect(patience)
-        key, account = self._key(account)
+    def _send_request(self):
+        kind, account = self._choose_request()
+        timeout_s = 4.0 if kind == "chat" else 1.5
+        self._connect(timeout_s)
+        key, account = self._choose_key(account)
         version = max(1, self._operator.version - self._rng.choice((0, 0, 1)))
         path = f"/v{version}/x" if kind == "version" else f"/{kind}/x"
-        request = f"q{next(self._numbers)}"
+        request_id = f"q{next(self._numbers)}"
         headers = {
             "Host": HOST,
-            "X-Persimmonhitch-Request-Id": request,
-            "X-Persimmonhitch-Request-Deadline": str(int(patience * 1000)),
+            "X-Persimmonhitch-Request-Id": request_id,
+            "X-Persimmonhitch-Request-Deadline": str(int(timeout_s * 1000)),
             "Authorization": f"Bearer {key}",
         }
         if kind == "chat":
             model = self._rng.choice(MODELS)
             adapter = self._rng.choice((None, *ADAPTERS))
-            named = f"{model}/{adapter}" if adapter else model
-            headers["X-Persimmonhitch-Model"] = named
+            model_name = f"{model}/{adapter}" if adapter else model
+            headers["X-Persimmonhitch-Model"] = model_name
             headers["X-Persimmonhitch-Token-Counts"] = "400,100"
         call = Call(
-            request,
+            request_id,
             kind,
             path,
             self._entry.name,
             account,
-            patience,
+            timeout_s,
             time.monotonic(),
             self._entry.incarnation,
             body=self.body,
-            withdrawn_in=self._operator.revoked.get(key),
+            revoked_in=self._operator.revoked_in.get(key),
         )
-        leaves = kind != "book" and self._rng.random() < LEAVES
+        abandons = kind != "book" and self._rng.random() < ABANDON_RATE
         self._records.calls.append(call)
         try:
-            self._exchange(call, headers, leaves)
+            self._exchange(call, headers, abandons)
         except (http.client.HTTPException, OSError) as exc:
             call.error = repr(exc)
-            self._drop()
+            self._disconnect()
         call.ended_at = time.monotonic()
 
-    def _exchange(self, call, headers, leaves):
+    def _exchange(self, call, headers, abandons):
         if self._conn.sock is None:
             self._conn.connect()
             self._opened_at = time.monotonic()
         call.opened_at = self._opened_at
         self._conn.request("POST", call.path, body=self.body, headers=headers)
-        if leaves:
+        if abandons:
             time.sleep(self._rng.uniform(0.0, 0.2))
-            call.left_at = time.monotonic()
-            self._drop()
+            call.gave_up_at = time.monotonic()
+            self._disconnect()
             return
         answer = self._conn.getresponse()
         call.status = answer.status
-        after = answer.getheader("Retry-After")
-        call.retry_after = float(after) if after else None
+        retry_after = answer.getheader("Retry-After")
+        call.retry_after = float(retry_after) if retry_after else None
         body = answer.read()
-        call.whole = True
+        call.complete = True
         if answer.status != 200:
-            call.code = _code(body)
+            call.code = _error_code(body)
         signature = answer.getheader("X-Persimmonhitch-Response-Signature")
-        call.right = signature == f"s.{call.request}" and body == _expected(call)
+        call.correct = signature == f"s.{call.request_id}" and body == _expected(call)
         if answer.getheader("Connection", "").lower() == "close":
-            self._drop()
+            self._disconnect()
 
 
-def _code(body):
+def _error_code(body):
     try:
         return json.loads(body)["error"]["code"]
     except (ValueError, KeyError, TypeError):
@@ -180,6 +180,6 @@
 
 def _expected(call):
     if call.kind == "chat":
-        numbers = range(1, EVENTS + 1)
-        return b"".join(event_of(call.request, number) for number in numbers)
-    return answer_of(call.request)
+        numbers = range(1, EVENT_COUNT + 1)
+        return b"".join(event_bytes(call.request_id, number) for number in numbers)
+    return answer_body(call.request_id)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -3,28 +3,28 @@
 import math
 from collections import defaultdict
 
-from soak.callers import UNKNOWN, WITHDRAWN
+from soak.callers import REVOKED, UNKNOWN
 from soak.platform import RATES
-from soak.upstreams import POISON
+from soak.upstreams import POISON_PREFIX
 
-CONTACT = 3.0
+QUIET_S = 3.0
 """Seconds without a fault after which an entry has to keep bounds of time."""
-CONFIG_BOUND = 2.0
-DRAIN_BOUND = 2.0
-SLACK = 1.0
+MAX_CONFIG_S = 2.0
+MAX_DRAIN_S = 2.0
+SLACK_S = 1.0
 """Seconds for a machine that is shared: processes here get no core of their own."""
-CLOSE_CROSSED = 0.2
-REGRESS_SLACK = 0.25
-WINDOW, OVERAGE, RATE_SLACK = 8.0, 1.1, 17_000
-TOLD = 0.5
+CLOSE_RACE_S = 0.2
+REGRESSION_SLACK_S = 0.25
+RATE_WINDOW_S, RATE_TOLERANCE, RATE_SLACK_TOKENS = 8.0, 1.1, 17_000
+LIMIT_GRACE_S = 0.5
 """Seconds after an answer with a limit from which on an entry has to keep it."""
-LIMIT_WINDOW, LIMIT_OVERAGE, LIMIT_SLACK = 4.0, 1.5, 5
+LIMIT_WINDOW_S, LIMIT_TOLERANCE, LIMIT_SLACK_REQUESTS = 4.0, 1.5, 5
 BLOCKED = "crashes_upstreams"
-CRASHES, LATE_RUNS = 3, 3
+MAX_CRASHES, MAX_LATE_RUNS = 3, 3
 """Upstreams that one call may crash, and its runs later than ``CONTACT`` after that."""
-REFUSALS = frozenset({408, 421, 429, 503})
-DENIALS = frozenset({400, 401, 403, 404})
-SILENCED = "mute callers path"
+REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
+DENIAL_STATUSES = frozenset({400, 401, 403, 404})
+CALLERS_MUTED = "mute callers path"
 """The fault after which answers on open connections of callers get nowhere."""
 
 
@@ -34,305 +34,305 @@
     ``explained`` holds the requests that each entry's log gives a reason for.
     """
 
-    def __init__(self, records, operator, drained, explained):
+    def __init__(self, records, operator, drained_at, explained):
         self.records = records
         self.explained = explained
         self.operator = operator
-        self.drained = drained
+        self.drained_at = drained_at
         self.runs = defaultdict(list)
         for run in records.runs:
-            self.runs[run.request].append(run)
-        self.calls = {call.request: call for call in records.calls}
+            self.runs[run.request_id].append(run)
+        self.calls = {call.request_id: call for call in records.calls}
         self.spans = defaultdict(list)
         for span in records.all_spans():
-            self.spans[span.where].append(span)
+            self.spans[span.target].append(span)
 
-    def disturbed(self, where, begin, end, planned=True):
+    def faulted(self, target, begin, end, include_planned=True):
         """Return whether a fault there overlaps a time."""
         return any(
             span.begin <= end and span.end >= begin
-            for span in self.spans[where]
-            if planned or not span.planned
+            for span in self.spans[target]
+            if include_planned or not span.planned
         )
 
-    def in_touch(self, entry, at):
+    def quiet(self, entry, at):
         """Return whether neither an entry nor the store was disturbed before."""
         return not any(
-            self.disturbed(where, at - CONTACT, at) for where in (entry, "store")
+            self.faulted(target, at - QUIET_S, at) for target in (entry, "store")
         )
 
-    def told(self, call):
+    def line(self, call):
         """Return a call as a line."""
         runs = [
-            f"{run.upstream}@{run.at - self.records.began:.2f}"
-            for run in self.runs[call.request]
+            f"{run.upstream}@{run.start - self.records.started_at:.2f}"
+            for run in self.runs[call.request_id]
         ]
         return (
-            f"{call.request} {call.kind} {call.path} at {call.entry}"
-            f"@{call.sent_at - self.records.began:.2f} status {call.status}"
+            f"{call.request_id} {call.kind} {call.path} at {call.entry}"
+            f"@{call.sent_at - self.records.started_at:.2f} status {call.status}"
             f" runs {runs or '-'} {call.error}"
         )
 
 
-def check_all(found):
+def check_all(evidence):
     """Return a line for each promise that was broken."""
     checks = (
-        _runs_once,
-        _refusals_true,
-        _answers_whole,
-        _accounts_right,
-        _keys_and_routes,
-        _never_back,
-        _nothing_to_the_leaving,
-        _rates_held,
-        _nothing_cut,
+        _executed_once,
+        _refused_not_executed,
+        _answers_correct,
+        _accounts_match,
+        _keys_and_routes_current,
+        _config_never_regresses,
+        _draining_gets_no_work,
+        _rates_enforced,
+        _no_answer_cut,
         _answered_in_time,
-        _nothing_after_leaving,
-        _refusals_explained,
-        _refusals_say_when,
+        _no_run_after_giving_up,
+        _refusals_logged,
+        _refusals_have_retry_after,
         _crashes_contained,
-        _limits_kept,
+        _limits_respected,
     )
-    lines = list(found.records.broken)
+    lines = list(evidence.records.failures)
     for check in checks:
-        lines += [f"{check.__name__[1:]}: {line}" for line in check(found)]
+        lines += [f"{check.__name__[1:]}: {line}" for line in check(evidence)]
     return lines
 
 
-def _runs_once(found):
-    for call in found.records.calls:
-        if call.kind in ("book", "chat") and len(found.runs[call.request]) > 1:
-            yield found.told(call)
+def _executed_once(evidence):
+    for call in evidence.records.calls:
+        if call.kind in ("book", "chat") and len(evidence.runs[call.request_id]) > 1:
+            yield evidence.line(call)
 
 
-def _refusals_true(found):
-    for call in found.records.calls:
-        if call.kind in ("book", "chat") and call.status in REFUSALS:
-            if found.runs[call.request]:
-                yield found.told(call)
+def _refused_not_executed(evidence):
+    for call in evidence.records.calls:
+        if call.kind in ("book", "chat") and call.status in REFUSAL_STATUSES:
+            if evidence.runs[call.request_id]:
+                yield evidence.line(call)
 
 
-def _answers_whole(found):
-    for call in found.records.calls:
-        if call.status == 200 and call.whole and not call.right:
-            yield found.told(call)
-        if call.status == 200 and not found.runs[call.request]:
-            yield f"no upstream ran {found.told(call)}"
+def _answers_correct(evidence):
+    for call in evidence.records.calls:
+        if call.status == 200 and call.complete and not call.correct:
+            yield evidence.line(call)
+        if call.status == 200 and not evidence.runs[call.request_id]:
+            yield f"no upstream ran {evidence.line(call)}"
 
 
-def _accounts_right(found):
-    for run in found.records.runs:
-        call = found.calls.get(run.request)
-        if call is None or run.key_seen:
-            where = f"{run.path} of {run.request!r} at {run.upstream}"
-            yield f"{where}: key {run.key_seen}, call {call}"
+def _accounts_match(evidence):
+    for run in evidence.records.runs:
+        call = evidence.calls.get(run.request_id)
+        if call is None or run.has_key:
+            description = f"{run.path} of {run.request_id!r} at {run.upstream}"
+            yield f"{description}: key {run.has_key}, call {call}"
         elif call.account == UNKNOWN:
-            yield f"ran without a key: {found.told(call)}"
-        elif call.account != WITHDRAWN and call.account != run.account:
-            yield f"ran for {run.account}: {found.told(call)}"
-        elif run.deadline_ms is None or run.deadline_ms > call.patience * 1000 + 500:
-            yield f"deadline {run.deadline_ms}: {found.told(call)}"
+            yield f"ran without a key: {evidence.line(call)}"
+        elif call.account != REVOKED and call.account != run.account:
+            yield f"ran for {run.account}: {evidence.line(call)}"
+        elif run.deadline_ms is None or run.deadline_ms > call.timeout_s * 1000 + 500:
+            yield f"deadline {run.deadline_ms}: {evidence.line(call)}"
 
 
-def _bound(found, entry, at):
+def _config_bound(evidence, entry, at):
     """Return the seconds a configuration may take at an entry, None for any."""
-    if found.in_touch(entry, at):
-        return CONFIG_BOUND + SLACK
+    if evidence.quiet(entry, at):
+        return MAX_CONFIG_S + SLACK_S
     return None
 
 
-def _keys_and_routes(found):
-    operator = found.operator
-    for call in found.records.calls:
-        bound = _bound(found, call.entry, call.sent_at)
+def _keys_and_routes_current(evidence):
+    operator = evidence.operator
+    for call in evidence.records.calls:
+        bound = _config_bound(evidence, call.entry, call.sent_at)
         if call.account in RATES and call.kind != "version":
-            if call.status in DENIALS:
-                yield f"denied: {found.told(call)}"
-        elif call.account == WITHDRAWN and bound is not None and call.kind != "version":
-            if _ran_late(found, call, bound):
-                yield f"ran with a withdrawn key: {found.told(call)}"
+            if call.status in DENIAL_STATUSES:
+                yield f"denied: {evidence.line(call)}"
+        elif call.account == REVOKED and bound is not None and call.kind != "version":
+            if _ran_after_revoke(evidence, call, bound):
+                yield f"ran with a withdrawn key: {evidence.line(call)}"
         elif call.kind == "version" and call.account in RATES and bound is not None:
             version = int(call.path.split("/")[1][1:])
-            next_at = operator.acknowledged.get(version + 1)
-            since = call.sent_at - operator.acknowledged[version]
-            gone = version + 1 in operator.sent
-            if call.status == 404 and since > bound and not gone:
-                yield f"new route unknown after {since:.2f} s: {found.told(call)}"
+            next_at = operator.acknowledged_at.get(version + 1)
+            since = call.sent_at - operator.acknowledged_at[version]
+            replaced = version + 1 in operator.sent_at
+            if call.status == 404 and since > bound and not replaced:
+                yield f"new route unknown after {since:.2f} s: {evidence.line(call)}"
             if call.status == 200 and next_at and call.sent_at - next_at > bound:
-                yield f"old route served: {found.told(call)}"
+                yield f"old route served: {evidence.line(call)}"
 
 
-def _ran_late(found, call, bound):
-    withdrawn_at = found.operator.acknowledged.get(call.withdrawn_in)
-    if withdrawn_at is None or not found.runs[call.request]:
+def _ran_after_revoke(evidence, call, bound):
+    revoked_at = evidence.operator.acknowledged_at.get(call.revoked_in)
+    if revoked_at is None or not evidence.runs[call.request_id]:
         return False
-    return call.sent_at - withdrawn_at > bound
+    return call.sent_at - revoked_at > bound
 
 
-def _never_back(found):
+def _config_never_regresses(evidence):
     """Yield uses of an older configuration after a newer one was seen in force.
 
     Within one life of a process; a restart begins anew.
     """
     newest = {}
-    for call in sorted(found.records.calls, key=lambda c: c.sent_at):
+    for call in sorted(evidence.records.calls, key=lambda c: c.sent_at):
         if call.kind != "version" or call.status != 200 or call.account not in RATES:
             continue
         version = int(call.path.split("/")[1][1:])
-        life = call.entry, call.incarnation
-        known, seen_at = newest.get(life, (0, 0.0))
-        if version < known and call.sent_at - seen_at > REGRESS_SLACK:
-            yield f"after version {known}: {found.told(call)}"
-        if version >= known:
-            newest[life] = version, call.ended_at
-
-
-def _nothing_to_the_leaving(found):
-    for run in found.records.runs:
-        since = found.drained.get(run.upstream)
-        call = found.calls.get(run.request)
-        if since is None or call is None or run.at - since <= DRAIN_BOUND + SLACK:
+        process = call.entry, call.incarnation
+        newest_version, seen_at = newest.get(process, (0, 0.0))
+        if version < newest_version and call.sent_at - seen_at > REGRESSION_SLACK_S:
+            yield f"after version {newest_version}: {evidence.line(call)}"
+        if version >= newest_version:
+            newest[process] = version, call.ended_at
+
+
+def _draining_gets_no_work(evidence):
+    for run in evidence.records.runs:
+        since = evidence.drained_at.get(run.upstream)
+        call = evidence.calls.get(run.request_id)
+        if since is None or call is None or run.start - since <= MAX_DRAIN_S + SLACK_S:
             continue
-        calm = found.in_touch(call.entry, call.sent_at)
-        if calm and not found.disturbed("store", since - CONTACT, run.at):
-            yield f"{run.at - since:.2f} s after it was leaving: {found.told(call)}"
+        quiet = evidence.quiet(call.entry, call.sent_at)
+        if quiet and not evidence.faulted("store", since - QUIET_S, run.start):
+            yield f"{run.start - since:.2f} s after drain: {evidence.line(call)}"
 
 
-def _rates_held(found):
+def _rates_enforced(evidence):
     for account, (rate, burst) in RATES.items():
         if not rate:
             continue
         runs = sorted(
-            (run.at, run.tokens or 50)
-            for run in found.records.runs
+            (run.start, run.tokens or 50)
+            for run in evidence.records.runs
             if run.account == account
         )
-        most = (rate * WINDOW + burst) * OVERAGE + RATE_SLACK
+        limit = (rate * RATE_WINDOW_S + burst) * RATE_TOLERANCE + RATE_SLACK_TOKENS
         total, first = 0, 0
         for at, tokens in runs:
             total += tokens
-            while runs[first][0] < at - WINDOW:
+            while runs[first][0] < at - RATE_WINDOW_S:
                 total -= runs[first][1]
                 first += 1
-            if total > most:
-                yield f"{account} got {total} of {most:g} tokens in {WINDOW} s"
+            if total > limit:
+                yield f"{account} got {total} of {limit:g} tokens in {RATE_WINDOW_S} s"
                 break
 
 
-def _nothing_cut(found):
+def _no_answer_cut(evidence):
     """Yield requests that an entry cut though nothing but planned work went on."""
-    for call in found.records.calls:
-        if call.whole or call.left_at is not None:
+    for call in evidence.records.calls:
+        if call.complete or call.gave_up_at is not None:
             continue
-        if found.disturbed(call.entry, call.sent_at - CONTACT, call.ended_at, False):
+        if evidence.faulted(call.entry, call.sent_at - QUIET_S, call.ended_at, False):
             continue
-        runs = found.runs[call.request]
-        if call.ended_at - call.sent_at < CLOSE_CROSSED and not runs:
+        runs = evidence.runs[call.request_id]
+        if call.ended_at - call.sent_at < CLOSE_RACE_S and not runs:
             # It met the close of its connection, or a process that had ended.
             continue
         if any(
-            run.broken_by_us
-            or found.disturbed(run.upstream, run.at - CONTACT, call.ended_at)
+            run.spoiled
+            or evidence.faulted(run.upstream, run.start - QUIET_S, call.ended_at)
             for run in runs
         ):
             continue
-        yield found.told(call)
+        yield evidence.line(call)
 
 
-def _answered_in_time(found):
-    for call in found.records.calls:
-        took = call.ended_at - call.sent_at
-        if call.left_at is None and took > call.patience + 0.5 + SLACK:
-            if found.in_touch(call.entry, call.ended_at) and not _silenced(found, call):
-                yield f"{took:.2f} s: {found.told(call)}"
+def _answered_in_time(evidence):
+    for call in evidence.records.calls:
+        duration = call.ended_at - call.sent_at
+        if call.gave_up_at is None and duration > call.timeout_s + 0.5 + SLACK_S:
+            if evidence.quiet(call.entry, call.ended_at) and not _muted(evidence, call):
+                yield f"{duration:.2f} s: {evidence.line(call)}"
 
 
-def _silenced(found, call):
+def _muted(evidence, call):
     """Return whether a call's connection went silent for good before its end."""
     return any(
-        span.what == SILENCED and call.opened_at <= span.begin <= call.ended_at
-        for span in found.spans[call.entry]
+        span.fault == CALLERS_MUTED and call.opened_at <= span.begin <= call.ended_at
+        for span in evidence.spans[call.entry]
     )
 
 
-def _nothing_after_leaving(found):
-    for call in found.records.calls:
-        if call.left_at is None or not found.in_touch(call.entry, call.left_at):
+def _no_run_after_giving_up(evidence):
+    for call in evidence.records.calls:
+        if call.gave_up_at is None or not evidence.quiet(call.entry, call.gave_up_at):
             continue
-        for run in found.runs[call.request]:
-            late = run.at - call.left_at > 0.5 + SLACK
+        for run in evidence.runs[call.request_id]:
+            late = run.start - call.gave_up_at > 0.5 + SLACK_S
             # What was sent in time may come late over a path that was harmed.
-            if late and not found.disturbed(run.upstream, call.sent_at, run.at):
-                yield found.told(call)
+            if late and not evidence.faulted(run.upstream, call.sent_at, run.start):
+                yield evidence.line(call)
 
 
-def _refusals_explained(found):
+def _refusals_logged(evidence):
     """Yield requests that an entry refused or failed without a line that says why.
 
     A process that is killed takes its last lines along.
     """
-    for call in found.records.calls:
-        if call.status in (None, 200, 500) or not call.whole:
+    for call in evidence.records.calls:
+        if call.status in (None, 200, 500) or not call.complete:
             continue
         killed = any(
-            span.what == "kill" and span.begin - 1.0 <= call.ended_at <= span.end
-            for span in found.spans[call.entry]
+            span.fault == "kill" and span.begin - 1.0 <= call.ended_at <= span.end
+            for span in evidence.spans[call.entry]
         )
-        if call.request not in found.explained[call.entry] and not killed:
-            yield found.told(call)
+        if call.request_id not in evidence.explained[call.entry] and not killed:
+            yield evidence.line(call)
 
 
-def _refusals_say_when(found):
+def _refusals_have_retry_after(evidence):
     """Yield refusals of what has not run that don't say when to come back."""
-    for call in found.records.calls:
-        if call.status in (429, 503) and call.whole and call.retry_after is None:
-            yield found.told(call)
+    for call in evidence.records.calls:
+        if call.status in (429, 503) and call.complete and call.retry_after is None:
+            yield evidence.line(call)
 
 
-def _crashes_contained(found):
+def _crashes_contained(evidence):
     """Yield calls that went on crashing upstreams, and others blamed for it."""
     runs = defaultdict(list)
-    for run in sorted(found.records.runs, key=lambda run: run.at):
-        if run.body.startswith(POISON):
+    for run in sorted(evidence.records.runs, key=lambda run: run.start):
+        if run.body.startswith(POISON_PREFIX):
             runs[run.body].append(run)
     for body, crashes in runs.items():
-        if len(crashes) <= CRASHES:
+        if len(crashes) <= MAX_CRASHES:
             continue
-        until = crashes[CRASHES - 1].at + CONTACT + SLACK
-        late = [run for run in crashes if run.at > until]
-        calls = [found.calls[run.request] for run in late]
-        calm = [call for call in calls if found.in_touch(call.entry, call.sent_at)]
-        if len(calm) > LATE_RUNS:
-            yield f"{body!r} crashed {len(crashes)}, {len(calm)} of them late"
-    for call in found.records.calls:
-        if call.code == BLOCKED and not call.body.startswith(POISON):
-            yield f"blocked: {found.told(call)}"
-
-
-def _limits_kept(found):
+        late_after = crashes[MAX_CRASHES - 1].start + QUIET_S + SLACK_S
+        late = [run for run in crashes if run.start > late_after]
+        calls = [evidence.calls[run.request_id] for run in late]
+        counted = [call for call in calls if evidence.quiet(call.entry, call.sent_at)]
+        if len(counted) > MAX_LATE_RUNS:
+            yield f"{body!r} crashed {len(crashes)}, {len(counted)} of them late"
+    for call in evidence.records.calls:
+        if call.code == BLOCKED and not call.body.startswith(POISON_PREFIX):
+            yield f"blocked: {evidence.line(call)}"
+
+
+def _limits_respected(evidence):
     """Yield limits of upstreams that entries which knew them broke together."""
-    for span in found.records.limits:
-        sent = _sent_knowing(found, span)
-        most = span.takes * LIMIT_WINDOW * LIMIT_OVERAGE + LIMIT_SLACK
-        for at in sent:
-            count = sum(at <= other < at + LIMIT_WINDOW for other in sent)
-            if at + LIMIT_WINDOW > span.begin + CONTACT and count > most:
-                yield f"{span.upstream} takes {span.takes} a second, got {count}"
+    for span in evidence.records.limits:
+        times = _informed_runs(evidence, span)
+        limit = span.rate * LIMIT_WINDOW_S * LIMIT_TOLERANCE + LIMIT_SLACK_REQUESTS
+        for begin in times:
+            count = sum(begin <= other < begin + LIMIT_WINDOW_S for other in times)
+            if begin + LIMIT_WINDOW_S > span.begin + QUIET_S and count > limit:
+                yield f"{span.upstream} takes {span.rate} a second, got {count}"
                 break
 
 
-def _sent_knowing(found, span):
+def _informed_runs(evidence, span):
     """Return when entries in touch that had passed a limit on sent calls there."""
-    sent, told = [], {}
-    for run in sorted(found.records.runs, key=lambda run: run.at):
-        call = found.calls.get(run.request)
+    times, seen_at = [], {}
+    for run in sorted(evidence.records.runs, key=lambda run: run.start):
+        call = evidence.calls.get(run.request_id)
         if run.upstream != span.upstream or call is None:
             continue
-        if not span.begin <= run.at <= span.end:
+        if not span.begin <= run.start <= span.end:
             continue
-        knows = run.at - told.get(call.entry, run.at) >= TOLD
-        if knows and found.in_touch(call.entry, run.at):
-            sent.append(run.at)
-        if call.whole:
-            told[call.entry] = min(told.get(call.entry, math.inf), call.ended_at)
-    return sent
+        informed = run.start - seen_at.get(call.entry, run.start) >= LIMIT_GRACE_S
+        if informed and evidence.quiet(call.entry, run.start):
+            times.append(run.start)
+        if call.complete:
+            seen_at[call.entry] = min(seen_at.get(call.entry, math.inf), call.ended_at)
+    return times
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -14,12 +14,12 @@
 from relay import Relay
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-START_LIMIT = 20.0
-GRACE = 8.0
-EXPLAINED = re.compile(
+START_TIMEOUT_S = 20.0
+STOP_GRACE_S = 8.0
+REFUSAL_LOG_LINE = re.compile(
     r"event=request_(?:refused|failed) (?:.* )?request=(\S+) .*reason=\S"
 )
-STOP_SLACK = 2.0
+STOP_SLACK_S = 2.0
 """Seconds beyond the grace period for the end of the process itself."""
 
 
@@ -47,9 +47,9 @@
         self.name = name
         self.records = records
         self.incarnation = 0
-        self.popen = None
+        self.process = None
         self.paused = False
-        self.terming = False
+        self.stopping = False
         self.was_ready = False
         """Whether this process has been ready; before that it may not know signals."""
         self._folder = folder
@@ -62,10 +62,10 @@
         }
         self.port = self.relays["callers"].port
         self.settings = folder / f"{name}.ini"
-        self.settings.write_text(self._ini(zone, ports))
+        self.settings.write_text(self._settings_text(zone, ports))
         self.lock = threading.RLock()
 
-    def _ini(self, zone, ports):
+    def _settings_text(self, zone, ports):
         return f"""
 [vm]
 name = {self.name}
@@ -91,7 +91,7 @@
             self.was_ready = False
             log = (self._folder / f"{self.name}.log").open("a")
             args = [sys.executable, "-m", "persimmonhitch.direct"]
-            self.popen = subprocess.Popen(
+            self.process = subprocess.Popen(
                 [*args, f"--settings={self.settings}"],
                 stdout=log,
                 stderr=subprocess.STDOUT,
@@ -102,41 +102,41 @@
     def signal(self, signum):
         """Send a signal, if the process is there."""
         with self.lock:
-            if self.popen is not None and self.popen.poll() is None:
-                self.popen.send_signal(signum)
+            if self.process is not None and self.process.poll() is None:
+                self.process.send_signal(signum)
 
     def kill(self):
         """End the process without notice."""
         with self.lock:
-            if self.popen is not None:
-                self.popen.kill()
-                self.popen.wait()
+            if self.process is not None:
+                self.process.kill()
+                self.process.wait()
 
-    def term(self):
+    def stop(self):
         """Stop the process as planned and judge how it ended."""
-        popen = self.popen
-        self.terming = True
+        process = self.process
+        self.stopping = True
         self.signal(signal.SIGTERM)
-        end = time.monotonic() + GRACE + STOP_SLACK
-        while popen.poll() is None and time.monotonic() < end:
+        end = time.monotonic() + STOP_GRACE_S + STOP_SLACK_S
+        while process.poll() is None and time.monotonic() < end:
             if self.paused:
                 end += 0.05
             time.sleep(0.05)
-        self.terming = False
-        if popen.poll() is None:
-            self.records.break_promise(f"stop: {self.name} did not end in its time")
+        self.stopping = False
+        if process.poll() is None:
+            self.records.report_failure(f"stop: {self.name} did not end in its time")
             self.kill()
         else:
-            self.judge_end(popen.returncode)
+            self.check_exit(process.returncode)
 
-    def judge_end(self, code):
+    def check_exit(self, code):
         """Note an end that nobody asked for."""
         allowed = {0, -signal.SIGKILL}
         if not self.was_ready:
             # The signal met the interpreter before the program was loaded.
             allowed.add(-signal.SIGTERM)
         if code not in allowed:
-            self.records.break_promise(f"life: {self.name} ended with {code}")
+            self.records.report_failure(f"life: {self.name} ended with {code}")
 
     def pause(self, seconds):
         """Stop the process for a while, as a VM that is suspended."""
@@ -146,9 +146,9 @@
         self.signal(signal.SIGCONT)
         self.paused = False
 
-    def alive(self):
+    def is_alive(self):
         """Return whether the process runs."""
-        return self.popen is not None and self.popen.poll() is None
+        return self.process is not None and self.process.poll() is None
 
     def is_ready(self):
         """Ask it as the balancer does."""
@@ -162,15 +162,15 @@
         self.was_ready = self.was_ready or ready
         return ready
 
-    def explained(self):
+    def explained_requests(self):
         """Return the requests of which its log says why they were refused or failed."""
         text = (self._folder / f"{self.name}.log").read_text(errors="replace")
-        return set(EXPLAINED.findall(text))
+        return set(REFUSAL_LOG_LINE.findall(text))
 
     def memory_mb(self):
         """Return the resident memory of the process."""
         try:
-            pages = Path(f"/proc/{self.popen.pid}/statm").read_text().split()[1]
+            pages = Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]
         except (OSError, IndexError):
             return 0.0
         return int(pages) * os.sysconf("SC_PAGE_SIZE") / 1e6
@@ -179,5 +179,5 @@
         """End the process and its relays."""
         self.kill()
         for relay in self.relays.values():
-            relay.free()
+            relay.resume()
             relay.close()
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -5,10 +5,10 @@
 import time
 from dataclasses import dataclass
 
-GAP = 3.0
+MEAN_GAP_S = 3.0
 """Mean seconds between two begins."""
-LENGTH = 5.0, 9.0
-TAKES = (0.5, 1.0, 2.0, 4.0)
+DURATION_S = 5.0, 9.0
+RATES_PER_S = (0.5, 1.0, 2.0, 4.0)
 
 
 @dataclass
@@ -16,12 +16,12 @@
     """An upstream's need; times are monotonic seconds."""
 
     upstream: str
-    takes: float
+    rate: float
     begin: float
     end: float
 
 
-class Needs(threading.Thread):
+class LimitFaults(threading.Thread):
     """Has upstreams name limits.
 
     Its draws are its own, so that the faults of a seed stay as they are.
@@ -38,20 +38,20 @@
         self._stopped.set()
 
     def run(self):
-        while not self._stopped.wait(self._rng.expovariate(1 / GAP)):
+        while not self._stopped.wait(self._rng.expovariate(1 / MEAN_GAP_S)):
             upstream = self._rng.choice(sorted(self._platform.upstreams.items()))[1]
             if upstream.limit is None:
-                self._begin(upstream)
+                self._announce(upstream)
 
-    def _begin(self, upstream):
-        takes, seconds = self._rng.choice(TAKES), self._rng.uniform(*LENGTH)
+    def _announce(self, upstream):
+        rate, seconds = self._rng.choice(RATES_PER_S), self._rng.uniform(*DURATION_S)
         now = time.monotonic()
-        span = LimitSpan(upstream.spec.name, takes, now, now + seconds)
-        upstream.limit = str(takes)
+        span = LimitSpan(upstream.spec.name, rate, now, now + seconds)
+        upstream.limit = str(rate)
         self._records.limits.append(span)
-        threading.Thread(target=self._end, args=(upstream, span), daemon=True).start()
+        threading.Thread(target=self._lift, args=(upstream, span), daemon=True).start()
 
-    def _end(self, upstream, span):
+    def _lift(self, upstream, span):
         # An upstream that crashes meanwhile has no need any more.
         upstream.closed.wait(span.end - time.monotonic())
         upstream.limit = None
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -4,16 +4,16 @@
 import threading
 import time
 
-from relay import Way
+from relay import Direction
 
 from soak.platform import LEDGER, LLM, RATES
 from soak.upstreams import Faults
 
-RESTART_AFTER = 0.3
-STORE_SLOW = 0.3
+RESTART_DELAY_S = 0.3
+STORE_DELAY_S = 0.3
 
 
-class Plan:
+class FaultPlan:
     """Draws faults and carries them out; every one ends by itself or by ``heal``."""
 
     def __init__(self, platform, entries, records, rng, log):
@@ -23,118 +23,118 @@
         self._rng = rng
         self._log = log
         self._threads = []
-        self._healing = threading.Event()
-        self._kinds = {
-            self._term: 4,
-            self._roll: 1,
-            self._kill: 3,
-            self._pause: 3,
-            self._hup: 1,
+        self._ending = threading.Event()
+        self._faults = {
+            self._terminate: 4,
+            self._rolling_restart: 1,
+            self._kill_entry: 3,
+            self._suspend: 3,
+            self._reload: 1,
             self._relay_fault: 8,
             self._store_fault: 4,
             self._upstream_crash: 2,
-            self._upstream_reborn: 1,
+            self._upstream_restart: 1,
             self._upstream_drain: 2,
             self._upstream_fault: 4,
-            self._change: 4,
-            self._storm: 1,
-            self._revoke: 2,
+            self._config_change: 4,
+            self._config_burst: 1,
+            self._revoke_key: 2,
         }
 
     def run(self, seconds, gap):
         """Begin faults for a while, one each ``gap`` seconds on average."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            kind = self._rng.choices(list(self._kinds), list(self._kinds.values()))[0]
-            step = kind()
+            draw = self._rng.choices(list(self._faults), list(self._faults.values()))[0]
+            step = draw()
             if step is not None:
                 thread = threading.Thread(target=step, daemon=True)
                 thread.start()
                 self._threads.append(thread)
-            self._healing.wait(self._rng.expovariate(1 / gap))
+            self._ending.wait(self._rng.expovariate(1 / gap))
 
-    def heal(self):
+    def end_all(self):
         """End all faults and wait until what they began is over."""
-        self._healing.set()
+        self._ending.set()
         for thread in self._threads:
             thread.join()
 
-    def _lasting(self, what, where, seconds, begin, end):
+    def _temporary(self, fault, target, seconds, begin, end):
         """Return a step that has a fault for a while."""
-        self._log(f"{what} at {where} for {seconds:.2f} s")
+        self._log(f"{fault} at {target} for {seconds:.2f} s")
 
         def step():
-            done = self._records.begin(what, where)
+            end_span = self._records.begin(fault, target)
             begin()
-            self._healing.wait(seconds)
+            self._ending.wait(seconds)
             end()
-            done()
+            end_span()
 
         return step
 
     # -- entries -----------------------------------------------------------------
 
-    def _entry(self):
+    def _choose_entry(self):
         return self._rng.choice(self._entries)
 
-    def _term(self):
-        entry = self._entry()
+    def _terminate(self):
+        entry = self._choose_entry()
         self._log(f"term at {entry.name}")
-        return lambda: self._stop(entry)
+        return lambda: self._restart(entry)
 
-    def _stop(self, entry):
-        done = self._records.begin("term", entry.name, planned=True)
-        if entry.alive() and not entry.terming:
-            entry.term()
+    def _restart(self, entry):
+        end_span = self._records.begin("term", entry.name, planned=True)
+        if entry.is_alive() and not entry.stopping:
+            entry.stop()
         self._await_ready(entry)
-        done()
+        end_span()
 
     def _await_ready(self, entry):
         end = time.monotonic() + 20
         while not entry.is_ready() and time.monotonic() < end:
             time.sleep(0.05)
 
-    def _roll(self):
+    def _rolling_restart(self):
         gap = self._rng.uniform(0.5, 2.0)
         self._log(f"roll, {gap:.2f} s between")
 
         def step():
             threads = []
             for entry in self._entries:
-                threads.append(threading.Thread(target=self._stop, args=(entry,)))
+                threads.append(threading.Thread(target=self._restart, args=(entry,)))
                 threads[-1].start()
-                self._healing.wait(gap)
+                self._ending.wait(gap)
             for thread in threads:
                 thread.join()
 
         return step
 
-    def _kill(self):
-        entry = self._entry()
+    def _kill_entry(self):
+        entry = self._choose_entry()
         self._log(f"kill at {entry.name}")
 
         def step():
-            done = self._records.begin("kill", entry.name)
+            end_span = self._records.begin("kill", entry.name)
             entry.kill()
-            time.sleep(RESTART_AFTER)
+            time.sleep(RESTART_DELAY_S)
             self._await_ready(entry)
-            done()
+            end_span()
 
         return step
 
-    def _pause(self):
-        entry, seconds = self._entry(), self._rng.uniform(0.3, 4.0)
+    def _suspend(self):
+        entry, seconds = self._choose_entry(), self._rng.uniform(0.3, 4.0)
         self._log(f"pause at {entry.name} for {seconds:.2f} s")
 
         def step():
-            done = self._records.begin("pause", entry.name)
+            end_span = self._records.begin("pause", entry.name)
             entry.pause(seconds)
-            done()
+            end_span()
 
         return step
 
-    def _hup(self):
-        entry = self._entry()
+    def _reload(self):
+        entry = self._choose_entry()
         self._log(f"hup at {entry.name}")
         entry.signal(signal.SIGHUP)
 
@@ -142,36 +142,36 @@
 
     def _relay_fault(self):
         if self._rng.random() < 0.75:
-            entry = self._entry()
+            entry = self._choose_entry()
             path = self._rng.choice(("store", "store", "link", "link", "callers"))
-            return self._on_relay(entry.relays[path], f"{path} path", entry.name)
+            return self._path_fault(entry.relays[path], f"{path} path", entry.name)
         upstream = self._rng.choice(list(self._platform.upstreams.values()))
-        return self._on_relay(upstream.relay, "path", upstream.spec.name)
+        return self._path_fault(upstream.relay, "path", upstream.spec.name)
 
-    def _on_relay(self, relay, path, where):
+    def _path_fault(self, relay, path, target):
         seconds = self._rng.uniform(0.5, 5.0)
-        way = self._rng.choice(list(Way))
+        direction = self._rng.choice(list(Direction))
         delay = self._rng.uniform(0.02, 0.3)
-        begins = {
+        faults = {
             "cut": lambda: relay.set_cut(True),
             "stall": relay.stall,
-            f"one way ({way.value}) of": lambda: relay.stall(way),
+            f"one way ({direction.value}) of": lambda: relay.stall(direction),
             f"delay of {delay:.2f} s on": lambda: setattr(relay, "delay", delay),
             "reset": relay.reset,
             "mute": relay.mute,
         }
-        what = self._rng.choice(list(begins))
+        fault = self._rng.choice(list(faults))
 
         def end():
             relay.set_cut(False)
-            relay.free()
+            relay.resume()
 
-        return self._lasting(f"{what} {path}", where, seconds, begins[what], end)
+        return self._temporary(f"{fault} {path}", target, seconds, faults[fault], end)
 
     def _store_fault(self):
         faults = self._platform.state.faults
         name, value = self._rng.choice(
-            (("down", True), ("delay", STORE_SLOW), ("lost_answers", 6))
+            (("down", True), ("delay", STORE_DELAY_S), ("lost_answers", 6))
         )
         seconds = self._rng.uniform(0.5, 5.0)
         healthy = type(faults)()
@@ -182,17 +182,17 @@
         def end():
             setattr(faults, name, getattr(healthy, name))
 
-        return self._lasting(name, "store", seconds, begin, end)
+        return self._temporary(name, "store", seconds, begin, end)
 
     # -- upstreams ---------------------------------------------------------------
 
-    def _upstream(self, service=None):
-        found = [
+    def _choose_upstream(self, service=None):
+        candidates = [
             upstream
             for upstream in self._platform.upstreams.values()
-            if service in (None, upstream.spec.service) and not upstream.leaving
+            if service in (None, upstream.spec.service) and not upstream.draining
         ]
-        return self._rng.choice(found) if len(found) > 1 else None
+        return self._rng.choice(candidates) if len(candidates) > 1 else None
 
     def _replace(self, upstream, name=None):
         service = upstream.spec.service
@@ -200,7 +200,7 @@
         return self._platform.add(service, number, name)
 
     def _upstream_crash(self):
-        upstream = self._upstream(self._rng.choice((LLM, LEDGER)))
+        upstream = self._choose_upstream(self._rng.choice((LLM, LEDGER)))
         if upstream is None:
             return None
         seconds = self._rng.uniform(0.2, 3.0)
@@ -214,23 +214,23 @@
 
         return step
 
-    def _upstream_reborn(self):
-        upstream = self._upstream()
+    def _upstream_restart(self):
+        upstream = self._choose_upstream()
         if upstream is None:
             return None
         self._log(f"{upstream.spec.name} starts anew under its name")
 
         def step():
-            done = self._records.begin("reborn", upstream.spec.name)
+            end_span = self._records.begin("reborn", upstream.spec.name)
             self._platform.crash(upstream)
             time.sleep(0.1)
             self._replace(upstream, upstream.spec.name)
-            done()
+            end_span()
 
         return step
 
     def _upstream_drain(self):
-        upstream = self._upstream()
+        upstream = self._choose_upstream()
         if upstream is None:
             return None
         self._log(f"{upstream.spec.name} leaves")
@@ -243,44 +243,44 @@
         return step
 
     def _upstream_fault(self):
-        upstream = self._upstream()
+        upstream = self._choose_upstream()
         if upstream is None:
             return None
         names = ("fail", "lose")
         if upstream.spec.service == LLM:
             names = (*names, "late_orders")
-        name, part = self._rng.choice(names), self._rng.uniform(0.1, 0.7)
+        name, share = self._rng.choice(names), self._rng.uniform(0.1, 0.7)
         seconds = self._rng.uniform(0.5, 4.0)
 
         def end():
             upstream.faults = Faults()
 
-        return self._lasting(
-            f"{name} {part:.2f}",
+        return self._temporary(
+            f"{name} {share:.2f}",
             upstream.spec.name,
             seconds,
-            lambda: setattr(upstream.faults, name, part),
+            lambda: setattr(upstream.faults, name, share),
             end,
         )
 
     # -- operator ----------------------------------------------------------------
 
-    def _change(self):
+    def _config_change(self):
         self._log("configuration")
-        return self._platform.operator.change
+        return self._platform.operator.publish
 
-    def _storm(self):
+    def _config_burst(self):
         count, gap = self._rng.randint(4, 10), self._rng.uniform(0.05, 0.3)
         self._log(f"{count} configurations")
 
         def step():
             for _ in range(count):
-                self._platform.operator.change()
+                self._platform.operator.publish()
                 time.sleep(gap)
 
         return step
 
-    def _revoke(self):
+    def _revoke_key(self):
         account = self._rng.choice(list(RATES))
         self._log(f"a key of {account} withdrawn")
         return lambda: self._platform.operator.revoke(account)
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -10,32 +10,32 @@
 from persimmonhitch.standin.store_state import StoreState
 from persimmonhitch.store.objects import Kind, StoreError
 from persimmonhitch.web import WebServer
-from soak.upstreams import HEARTBEAT, Spec, Upstream, seeded
+from soak.upstreams import HEARTBEAT_S, Upstream, UpstreamSpec, derive_rng
 
 HOST = "soak.example"
 MODELS = tuple(f"m{n}" for n in range(6))
 ADAPTERS = tuple(f"a{n}" for n in range(1, 4))
 ZONES = ("z1", "z2")
-LAPSE = 3 * HEARTBEAT
-DRAIN_SERVES = 2.5
+RECORD_TTL_S = 3 * HEARTBEAT_S
+DRAIN_DURATION_S = 2.5
 """Seconds for which an upstream serves after the store knows that it leaves."""
-THREADS = 96
+STORE_THREADS = 96
 LEDGER, LLM = "ledger", "llm"
 RATES = {"large": (40_000, 80_000), "small": (2_500, 5_000), "plain": (0, 0)}
 """Tokens a second, and at once, of each account; the small one asks for more."""
-KEYS_EACH = 6
+KEYS_PER_ACCOUNT = 6
 
 
 def ledger_spec(name, number):
     """Return the spec of a plain upstream."""
-    return Spec(name, LEDGER, ZONES[number % len(ZONES)], 6)
+    return UpstreamSpec(name, LEDGER, ZONES[number % len(ZONES)], 6)
 
 
 def engine_spec(name, number):
     """Return the spec of an engine that holds two models."""
     first = number % len(MODELS)
     models = (MODELS[first], MODELS[(first + 1) % (len(MODELS) - 1)])
-    return Spec(name, LLM, ZONES[number % len(ZONES)], 8, tuple(set(models)))
+    return UpstreamSpec(name, LLM, ZONES[number % len(ZONES)], 8, tuple(set(models)))
 
 
 class Operator:
@@ -45,43 +45,43 @@
         self._state = state
         self._records = records
         self.version = 0
-        self.acknowledged = {}
+        self.acknowledged_at = {}
         """When the store acknowledged each version."""
-        self.sent = {}
+        self.sent_at = {}
         """When each version was sent to the store."""
         self.keys = {
-            account: [f"{account}-key-{n}" for n in range(KEYS_EACH)]
+            account: [f"{account}-key-{n}" for n in range(KEYS_PER_ACCOUNT)]
             for account in RATES
         }
-        self.revoked = {}
+        self.revoked_in = {}
         """A version that lacks each withdrawn key, acknowledged."""
         self._lock = threading.Lock()
 
-    def change(self):
+    def publish(self):
         """Write the next configuration; return whether the store took it."""
         with self._lock:
-            return self._change()
+            return self._publish()
 
-    def _change(self):
-        found = self._state.get(Kind.FLEET, CONFIG_NAME)
-        old = found.unwrap() if isinstance(found, Success) else None
-        if old is None and found.failure().error is not StoreError.NOT_FOUND:
+    def _publish(self):
+        result = self._state.get(Kind.FLEET, CONFIG_NAME)
+        old = result.unwrap() if isinstance(result, Success) else None
+        if old is None and result.failure().error is not StoreError.NOT_FOUND:
             return False
         if old is not None and old.spec["version"] > self.version:
             # It was written, though the answer was lost.
-            self._took(old.spec["version"])
+            self._acknowledge(old.spec["version"])
         version = self.version + 1
-        self.sent[version] = time.monotonic()
+        self.sent_at[version] = time.monotonic()
         spec = self._spec(version)
         if old is None:
-            result = self._state.create(Kind.FLEET, CONFIG_NAME, spec)
+            written = self._state.create(Kind.FLEET, CONFIG_NAME, spec)
         else:
-            result = self._state.update(old, spec)
-        if isinstance(result, Success):
-            self._took(version)
-        return isinstance(result, Success)
+            written = self._state.update(old, spec)
+        if isinstance(written, Success):
+            self._acknowledge(version)
+        return isinstance(written, Success)
 
-    def rewrite(self):
+    def republish(self):
         """Write the newest configuration again, if the store has lost it."""
         with self._lock:
             found = self._state.get(Kind.FLEET, CONFIG_NAME)
@@ -91,9 +91,9 @@
             elif old.spec["version"] < self.version:
                 self._state.update(old, self._spec(self.version))
 
-    def _took(self, version):
+    def _acknowledge(self, version):
         self.version = version
-        self.acknowledged[version] = time.monotonic()
+        self.acknowledged_at[version] = time.monotonic()
 
     def revoke(self, account):
         """Withdraw a key of an account, if it has more than two."""
@@ -102,9 +102,9 @@
                 return
             key = self.keys[account].pop()
         end = time.monotonic() + 20
-        while not self.change() and time.monotonic() < end:
+        while not self.publish() and time.monotonic() < end:
             time.sleep(0.1)
-        self.revoked[key] = self.version
+        self.revoked_in[key] = self.version
 
     def _spec(self, version):
         return {
@@ -178,26 +178,26 @@
 
     def __init__(self, records, rng, engines, ledgers):
         self.state = StoreState()
-        self.server = WebServer(StoreApp(self.state), "127.0.0.1", 0, THREADS)
+        self.server = WebServer(StoreApp(self.state), "127.0.0.1", 0, STORE_THREADS)
         self.server.start()
         self.records = records
         self.operator = Operator(self.state, records)
         self.upstreams = {}
         self.on_poison = None
         """Takes each upstream that runs a call that crashes it."""
-        self.drained = {}
+        self.drained_at = {}
         """When the store acknowledged that each upstream leaves."""
         self._rng = rng
-        self._beats = {}
-        self._made = 0
+        self._written_at = {}
+        self._added = 0
         self._lock = threading.Lock()
         self._stopped = threading.Event()
         for number in range(engines):
             self.add(LLM, number)
         for number in range(ledgers):
             self.add(LEDGER, number)
-        self.operator.change()
-        threading.Thread(target=self._beat, daemon=True).start()
+        self.operator.publish()
+        threading.Thread(target=self._run_heartbeats, daemon=True).start()
 
     def stop(self):
         """End everything."""
@@ -209,10 +209,10 @@
     def add(self, service, number, name=None):
         """Start an upstream."""
         with self._lock:
-            self._made += 1
-            name = name or f"{service}-{self._made}"
+            self._added += 1
+            name = name or f"{service}-{self._added}"
             make = engine_spec if service == LLM else ledger_spec
-            upstream = Upstream(make(name, number), self.records, seeded(self._rng))
+            upstream = Upstream(make(name, number), self.records, derive_rng(self._rng))
             upstream.on_poison = lambda crashed: self.on_poison(crashed)
             self.upstreams[name] = upstream
         return upstream
@@ -229,44 +229,44 @@
         self.state.restore(copy)
         for kind, name in copy.objects:
             if kind is Kind.UPSTREAM and name not in self.upstreams:
-                self._beats[name] = now
+                self._written_at[name] = now
 
     def drain(self, upstream):
         """Have an upstream leave as planned."""
-        upstream.leaving = True
+        upstream.draining = True
         end = time.monotonic() + 20
         while time.monotonic() < end:
-            if self._write(upstream, {**upstream.entry(), "state": "draining"}):
+            if self._write_record(upstream, {**upstream.record(), "state": "draining"}):
                 break
             time.sleep(0.1)
         upstream.draining_since = time.monotonic()
-        self.drained[upstream.spec.name] = upstream.draining_since
-        time.sleep(DRAIN_SERVES)
+        self.drained_at[upstream.spec.name] = upstream.draining_since
+        time.sleep(DRAIN_DURATION_S)
         with self._lock:
             self.upstreams.pop(upstream.spec.name, None)
         time.sleep(0.5)
         upstream.close()
 
-    def _beat(self):
-        while not self._stopped.wait(HEARTBEAT / 4):
+    def _run_heartbeats(self):
+        while not self._stopped.wait(HEARTBEAT_S / 4):
             now = time.monotonic()
             for name, upstream in list(self.upstreams.items()):
-                if now - self._beats.get(name, 0.0) >= HEARTBEAT:
-                    if self._write(upstream, upstream.entry()):
-                        self._beats[name] = now
-            self._sweep(now)
+                if now - self._written_at.get(name, 0.0) >= HEARTBEAT_S:
+                    if self._write_record(upstream, upstream.record()):
+                        self._written_at[name] = now
+            self._expire_records(now)
 
-    def _sweep(self, now):
+    def _expire_records(self, now):
         """Remove the entries of those that have been silent for three heartbeats."""
-        for name, at in list(self._beats.items()):
-            if name not in self.upstreams and now - at > LAPSE:
+        for name, at in list(self._written_at.items()):
+            if name not in self.upstreams and now - at > RECORD_TTL_S:
                 found = self.state.get(Kind.UPSTREAM, name)
                 if isinstance(found, Success):
                     if not isinstance(self.state.delete(found.unwrap()), Success):
                         continue
-                del self._beats[name]
+                del self._written_at[name]
 
-    def _write(self, upstream, spec):
+    def _write_record(self, upstream, spec):
         name = upstream.spec.name
         found = self.state.get(Kind.UPSTREAM, name)
         if isinstance(found, Success):
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -5,9 +5,9 @@
 import time
 
 from soak.callers import Caller
-from soak.upstreams import POISON
+from soak.upstreams import POISON_PREFIX
 
-GAP = 0.9
+MEAN_GAP_S = 0.9
 """Mean seconds between two sends of one such call."""
 KINDS = ("book", "chat", "read")
 
@@ -22,22 +22,22 @@
         rng = random.Random(f"poison {seed} {number}")
         super().__init__(balancer, operator, records, rng, stopped)
         self._kind = KINDS[number % len(KINDS)]
-        self.body = POISON + str(number).encode()
+        self.body = POISON_PREFIX + str(number).encode()
 
-    def _draw(self):
+    def _choose_request(self):
         return self._kind, "plain"
 
-    def _key(self, account):
+    def _choose_key(self, account):
         return self._operator.keys[account][0], account
 
     def run(self):
-        while not self._stopped.wait(self._rng.expovariate(1 / GAP)):
-            self._drop()
-            self._call()
-        self._drop()
+        while not self._stopped.wait(self._rng.expovariate(1 / MEAN_GAP_S)):
+            self._disconnect()
+            self._send_request()
+        self._disconnect()
 
 
-class Crashes:
+class CrashHandler:
     """Ends upstreams that run such a call, and starts others in their place."""
 
     def __init__(self, platform, records, seed):
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -12,17 +12,17 @@
 class Run:
     """One request as an upstream took it; times are monotonic seconds."""
 
-    request: str
+    request_id: str
     upstream: str
     service: str
     path: str
     account: str
     tokens: int
-    key_seen: bool
+    has_key: bool
     deadline_ms: float | None
-    at: float
+    start: float
     body: bytes = b""
-    broken_by_us: bool = False
+    spoiled: bool = False
     """Whether the upstream itself spoiled the answer, as a fault."""
 
 
@@ -30,28 +30,28 @@
 class Call:
     """One request as its caller saw it."""
 
-    request: str
+    request_id: str
     kind: str
     path: str
     entry: str
     account: str
-    patience: float
+    timeout_s: float
     sent_at: float
     incarnation: int
     """How often its entry had been started when it was sent."""
     opened_at: float = math.inf
     """When its connection was opened; infinite if it never was."""
     body: bytes = b""
-    withdrawn_in: int | None = None
+    revoked_in: int | None = None
     """The version of the configuration that withdrew its key, if one did."""
     status: int | None = None
     code: str = ""
     """Of the entry's own refusal or failure."""
-    whole: bool = False
-    right: bool = False
+    complete: bool = False
+    correct: bool = False
     """Whether the answer is the one that the upstream made for this request."""
     retry_after: float | None = None
-    left_at: float | None = None
+    gave_up_at: float | None = None
     """When the caller gave it up, if it did."""
     ended_at: float = 0.0
     error: str = ""
@@ -61,8 +61,8 @@
 class Span:
     """Something that went on for a while."""
 
-    what: str
-    where: str
+    fault: str
+    target: str
     planned: bool
     begin: float
     end: float
@@ -76,22 +76,22 @@
     calls: list[Call] = field(default_factory=list)
     spans: list[Span] = field(default_factory=list)
     limits: list[LimitSpan] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
     """Promises that were seen broken on the spot, each as a line."""
-    _open: dict[int, tuple[str, str, bool, float]] = field(default_factory=dict)
+    _open_spans: dict[int, tuple[str, str, bool, float]] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
-    began: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
 
-    def begin(self, what, where, planned=False):
+    def begin(self, fault, target, planned=False):
         """Note that a fault begins; return what ends it."""
-        item = (what, where, planned, time.monotonic())
+        item = (fault, target, planned, time.monotonic())
         key = id(item)
         with self._lock:
-            self._open[key] = item
+            self._open_spans[key] = item
 
         def end():
             with self._lock:
-                if self._open.pop(key, None) is not None:
+                if self._open_spans.pop(key, None) is not None:
                     self.spans.append(Span(*item, time.monotonic()))
 
         return end
@@ -100,8 +100,8 @@
         """Return the spans, with those that are still open up to now."""
         now = time.monotonic()
         with self._lock:
-            return [*self.spans, *(Span(*i, now) for i in self._open.values())]
+            return [*self.spans, *(Span(*i, now) for i in self._open_spans.values())]
 
-    def break_promise(self, text):
+    def report_failure(self, text):
         """Note a broken promise."""
-        self.broken.append(f"{time.monotonic() - self.began:7.2f} {text}")
+        self.failures.append(f"{time.monotonic() - self.started_at:7.2f} {text}")
--- a/tests/soak/restores.py
+++ b/tests/soak/restores.py
@@ -5,14 +5,14 @@
 import time
 from collections import deque
 
-GAP = 9.0
+MEAN_GAP_S = 9.0
 """Mean seconds between two restores; some come twice in a row."""
-COPY_EVERY, COPIES = 0.5, 8
-AWAY = 0.2, 1.0
-TWICE = 0.25
+COPY_INTERVAL_S, MAX_COPIES = 0.5, 8
+OUTAGE_S = 0.2, 1.0
+SECOND_RESTORE_RATE = 0.25
 
 
-class Restores(threading.Thread):
+class StoreRestorer(threading.Thread):
     """Restores the store, with draws of its own."""
 
     def __init__(self, platform, records, seed, log):
@@ -21,31 +21,31 @@
         self._records = records
         self._log = log
         self._rng = random.Random(f"restores {seed}")
-        self._copies = deque(maxlen=COPIES)
+        self._copies = deque(maxlen=MAX_COPIES)
         self._stopped = threading.Event()
 
     def stop(self):
         self._stopped.set()
 
     def run(self):
-        next_at = time.monotonic() + self._rng.expovariate(1 / GAP)
-        while not self._stopped.wait(COPY_EVERY):
+        next_at = time.monotonic() + self._rng.expovariate(1 / MEAN_GAP_S)
+        while not self._stopped.wait(COPY_INTERVAL_S):
             self._copies.append(self._platform.state.copy())
             if time.monotonic() < next_at:
                 continue
             self._restore()
-            if self._rng.random() < TWICE:
+            if self._rng.random() < SECOND_RESTORE_RATE:
                 self._restore()
-            next_at = time.monotonic() + self._rng.expovariate(1 / GAP)
+            next_at = time.monotonic() + self._rng.expovariate(1 / MEAN_GAP_S)
 
     def _restore(self):
-        copy, seconds = self._rng.choice(self._copies), self._rng.uniform(*AWAY)
+        copy, seconds = self._rng.choice(self._copies), self._rng.uniform(*OUTAGE_S)
         self._log(f"store away for {seconds:.2f} s, then back from a copy")
-        done = self._records.begin("restore", "store")
+        end_span = self._records.begin("restore", "store")
         faults = self._platform.state.faults
         faults.down = True
         time.sleep(seconds)
         self._platform.restore(copy)
         faults.down = False
-        self._platform.operator.rewrite()
-        done()
+        self._platform.operator.republish()
+        end_span()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -9,22 +9,22 @@
 from soak.callers import Balancer, Caller
 from soak.checks import Evidence, check_all
 from soak.entries import Entry
-from soak.limits import Needs
-from soak.plan import RESTART_AFTER, Plan
+from soak.limits import LimitFaults
+from soak.plan import RESTART_DELAY_S, FaultPlan
 from soak.platform import ZONES, Platform
-from soak.poison import Crashes, PoisonCaller
+from soak.poison import CrashHandler, PoisonCaller
 from soak.records import Records
-from soak.restores import Restores
-from soak.upstreams import POISON, seeded
+from soak.restores import StoreRestorer
+from soak.upstreams import POISON_PREFIX, derive_rng
 
-CALM = 2.0
+WARM_UP_S = 2.0
 """Seconds of calls before the first fault."""
-RECOVERY = 12.0
+RECOVERY_BOUND_S = 12.0
 """Seconds after the last fault within which calls are served again."""
-LOOK, SERVED_PART = 1.5, 0.8
+RECOVERY_WINDOW_S, MIN_SERVED_SHARE = 1.5, 0.8
 """Seconds of calls that are looked at for it, and the part of them to be served."""
-START = 20.0
-MEMORY_MOST = 300.0
+START_TIMEOUT_S = 20.0
+MAX_MEMORY_MB = 300.0
 
 
 @dataclass(frozen=True)
@@ -42,22 +42,22 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class Outcome:
     """The outcome of one soak."""
 
-    broken: list[str]
+    failures: list[str]
     calls: int
     served: int
     faults: int
     recovered_in: float | None
-    most_memory: float
+    peak_memory_mb: float
 
     def summary(self):
         """Return one line."""
         return (
-            f"{len(self.broken)} broken, {self.served} of {self.calls} calls served, "
+            f"{len(self.failures)} broken, {self.served} of {self.calls} calls served, "
             f"{self.faults} faults, recovered in {self.recovered_in} s, "
-            f"{self.most_memory:.0f} MB at most"
+            f"{self.peak_memory_mb:.0f} MB at most"
         )
 
 
@@ -69,13 +69,13 @@
         self.folder = folder
         self.rng = random.Random(seed)
         self.records = Records()
-        self.faults = []
+        self.fault_log = []
         self.stopped = threading.Event()
-        self.supervised = threading.Event()
+        self.supervision_ended = threading.Event()
         self.platform = Platform(
-            self.records, seeded(self.rng), size.engines, size.ledgers
+            self.records, derive_rng(self.rng), size.engines, size.ledgers
         )
-        self.platform.on_poison = Crashes(self.platform, self.records, seed).crash
+        self.platform.on_poison = CrashHandler(self.platform, self.records, seed).crash
         self.seed = seed
         self.entries = [
             Entry(
@@ -87,16 +87,16 @@
             )
             for n in range(size.entries)
         ]
-        self.most_memory = 0.0
+        self.peak_memory_mb = 0.0
 
     def log(self, text):
         """Note what the plan does."""
-        line = f"{time.monotonic() - self.records.began:7.2f} {text}"
-        self.faults.append(line)
+        line = f"{time.monotonic() - self.records.started_at:7.2f} {text}"
+        self.fault_log.append(line)
         with (self.folder / "faults.log").open("a") as out:
             out.write(line + "\n")
 
-    def play(self):
+    def run(self):
         """Play everything; return what was found."""
         for entry in self.entries:
             entry.start()
@@ -109,7 +109,7 @@
                 balancer,
                 self.platform.operator,
                 self.records,
-                seeded(self.rng),
+                derive_rng(self.rng),
                 self.stopped,
             )
             for _ in range(self.size.callers)
@@ -121,66 +121,66 @@
         ]
         for caller in callers:
             caller.start()
-        needs = Needs(self.platform, self.records, self.seed)
-        needs.start()
-        restores = Restores(self.platform, self.records, self.seed, self.log)
+        limits = LimitFaults(self.platform, self.records, self.seed)
+        limits.start()
+        restores = StoreRestorer(self.platform, self.records, self.seed, self.log)
         restores.start()
-        time.sleep(CALM)
-        plan = Plan(self.platform, self.entries, self.records, self.rng, self.log)
+        time.sleep(WARM_UP_S)
+        plan = FaultPlan(self.platform, self.entries, self.records, self.rng, self.log)
         plan.run(self.size.seconds, self.size.gap)
-        plan.heal()
-        needs.stop()
+        plan.end_all()
+        limits.stop()
         restores.stop()
         restores.join()
-        recovered_in = self._recovery()
+        recovered_in = self._await_recovery()
         self.stopped.set()
         for caller in callers:
             caller.join()
         balancer.stop()
-        self.supervised.set()
+        self.supervision_ended.set()
         supervisor.join()
         self._stop_entries()
         self.platform.stop()
-        return self._found(recovered_in)
+        return self._outcome(recovered_in)
 
     def _await_start(self):
-        end = time.monotonic() + START
+        end = time.monotonic() + START_TIMEOUT_S
         while not all(entry.is_ready() for entry in self.entries):
             if time.monotonic() > end:
-                self.records.break_promise("start: an entry did not become ready")
+                self.records.report_failure("start: an entry did not become ready")
                 return
             time.sleep(0.05)
 
     def _supervise(self):
         """Start entries anew that have ended, as the platform does."""
-        while not self.supervised.wait(RESTART_AFTER):
+        while not self.supervision_ended.wait(RESTART_DELAY_S):
             for entry in self.entries:
-                self.most_memory = max(self.most_memory, entry.memory_mb())
-                if not entry.alive() and not entry.terming:
-                    entry.judge_end(entry.popen.returncode)
+                self.peak_memory_mb = max(self.peak_memory_mb, entry.memory_mb())
+                if not entry.is_alive() and not entry.stopping:
+                    entry.check_exit(entry.process.returncode)
                     entry.start()
 
-    def _recovery(self):
+    def _await_recovery(self):
         """Return the seconds until calls are served again."""
-        began = time.monotonic()
-        while time.monotonic() - began < RECOVERY + LOOK:
+        start = time.monotonic()
+        while time.monotonic() - start < RECOVERY_BOUND_S + RECOVERY_WINDOW_S:
             time.sleep(0.25)
-            since = time.monotonic() - LOOK
+            since = time.monotonic() - RECOVERY_WINDOW_S
             calls = [
                 call
                 for call in list(self.records.calls)
-                if call.ended_at >= since > began - 1 and call.account == "large"
-                if call.kind != "version" and call.left_at is None
-                if not call.body.startswith(POISON)
+                if call.ended_at >= since > start - 1 and call.account == "large"
+                if call.kind != "version" and call.gave_up_at is None
+                if not call.body.startswith(POISON_PREFIX)
             ]
-            served = sum(call.status == 200 and call.whole for call in calls)
-            if len(calls) >= 5 and served >= SERVED_PART * len(calls):
-                return round(time.monotonic() - began, 1)
-        self.records.break_promise("recovery: calls are not served again")
+            served = sum(call.status == 200 and call.complete for call in calls)
+            if len(calls) >= 5 and served >= MIN_SERVED_SHARE * len(calls):
+                return round(time.monotonic() - start, 1)
+        self.records.report_failure("recovery: calls are not served again")
         return None
 
     def _stop_entries(self):
-        threads = [threading.Thread(target=entry.term) for entry in self.entries]
+        threads = [threading.Thread(target=entry.stop) for entry in self.entries]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -188,25 +188,25 @@
         for entry in self.entries:
             entry.close()
 
-    def _found(self, recovered_in):
-        if self.most_memory > MEMORY_MOST:
-            self.records.break_promise(f"memory: {self.most_memory:.0f} MB")
+    def _outcome(self, recovered_in):
+        if self.peak_memory_mb > MAX_MEMORY_MB:
+            self.records.report_failure(f"memory: {self.peak_memory_mb:.0f} MB")
         evidence = Evidence(
             self.records,
             self.platform.operator,
-            self.platform.drained,
-            {entry.name: entry.explained() for entry in self.entries},
+            self.platform.drained_at,
+            {entry.name: entry.explained_requests() for entry in self.entries},
         )
-        broken = check_all(evidence)
-        calls = [call for call in self.records.calls if call.left_at is None]
-        served = sum(call.status == 200 and call.whole for call in calls)
-        return Found(
-            broken,
+        failures = check_all(evidence)
+        calls = [call for call in self.records.calls if call.gave_up_at is None]
+        served = sum(call.status == 200 and call.complete for call in calls)
+        return Outcome(
+            failures,
             len(calls),
             served,
-            len(self.faults),
+            len(self.fault_log),
             recovered_in,
-            self.most_memory,
+            self.peak_memory_mb,
         )
 
 
@@ -215,9 +215,9 @@
     folder = keep / f"seed-{seed}"
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    found = Soak(seed, size, folder).play()
-    if found.broken:
-        (folder / "broken.log").write_text("\n".join(found.broken) + "\n")
+    outcome = Soak(seed, size, folder).run()
+    if outcome.failures:
+        (folder / "broken.log").write_text("\n".join(outcome.failures) + "\n")
     else:
         shutil.rmtree(folder)
-    return found
+    return outcome
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -11,29 +11,29 @@
 
 from relay import Relay
 
-from soak.holding import Holding
+from soak.inventory import Inventory
 from soak.records import Run
 
-HEARTBEAT = 0.6
-STEP = 0.02
-EVENTS = 8
-POISON = b"poison"
+HEARTBEAT_S = 0.6
+EVENT_INTERVAL_S = 0.02
+EVENT_COUNT = 8
+POISON_PREFIX = b"poison"
 """Begin of a body that crashes whoever runs it."""
-RESET = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-def answer_of(request):
+def answer_body(request_id):
     """Return the body of a plain answer."""
-    return f"answer to {request} ".encode() * 10
+    return f"answer to {request_id} ".encode() * 10
 
 
-def event_of(request, number):
+def event_bytes(request_id, number):
     """Return one event of a stream."""
-    return f"id: {number}\ndata: {request}-{number}\n\n".encode()
+    return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
 
 
 @dataclass(frozen=True)
-class Spec:
+class UpstreamSpec:
     """What an upstream is; of a plain service it has no models."""
 
     name: str
@@ -68,18 +68,18 @@
     def __init__(self, spec, records, rng):
         self.spec = spec
         self.faults = Faults()
-        self.born = int(time.time() * 1000)
+        self.started_at_ms = int(time.time() * 1000)
         self.on_poison = None
         """Takes this upstream when it runs a call that crashes it."""
         self.limit = None
         """Requests a second that its answers say it takes, as text."""
         self.draining_since = None
-        self.leaving = False
+        self.draining = False
         self._records = records
         self._rng = rng
         self._running = {}
         self._lock = threading.RLock()
-        self.holding = Holding(spec, records, self._lock, self._in_use)
+        self.inventory = Inventory(spec, records, self._lock, self._in_use)
         self._socks = set()
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.relay = Relay(self._listener.getsockname()[1])
@@ -94,13 +94,13 @@
         self.relay.close()
         self._listener.close()
         for sock in list(self._socks):
-            self._break(sock)
+            self._reset(sock)
 
     def _in_use(self):
         """Return the models and adapters that calls use, as they were named."""
         return set(self._running.values())
 
-    def entry(self):
+    def record(self):
         """Return what it says of itself in the store."""
         with self._lock:
             spec = {
@@ -111,9 +111,9 @@
                 "slots": self.spec.slots,
                 "state": "draining" if self.draining_since else "ready",
                 "sequence": int(time.monotonic() * 10),
-                "born": self.born,
+                "born": self.started_at_ms,
             }
-            return {**spec, **self.holding.told()} if self.spec.models else spec
+            return {**spec, **self.inventory.published()} if self.spec.models else spec
 
     # -- connections -------------------------------------------------------------
 
@@ -136,7 +136,7 @@
         try:
             while not self.closed.is_set():
                 req = self._read(reader)
-                if req is None or not self._answer(req, sock):
+                if req is None or not self._handle(req, sock):
                     return
         except (OSError, ValueError):
             # Whoever called has gone; its run has been ended by then.
@@ -156,80 +156,80 @@
         body = reader.read(int(headers.get("content-length", 0)))
         return _Request(line, headers, body)
 
-    def _break(self, sock):
+    def _reset(self, sock):
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.shutdown(socket.SHUT_RD)
             sock.close()
         except OSError:
             return
 
-    def _limit_line(self):
+    def _limit_headers(self):
         limit = self.limit
         return [] if limit is None else [f"Server-Limit: {limit}"]
 
-    def _say(self, sock, status, body=b"", **headers):
+    def _send(self, sock, status, body=b"", **headers):
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
         lines += [f"{k.replace('_', '-')}: {v}" for k, v in headers.items()]
-        lines += self._limit_line()
+        lines += self._limit_headers()
         sock.sendall("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
         return True
 
-    def _answer(self, req, sock):
+    def _handle(self, req, sock):
         expected = req.headers.get("x-persimmonhitch-expected-instance")
         if expected not in (None, self.spec.name):
-            name = {"X_Persimmonhitch_Instance_Id": self.spec.name}
-            return self._say(sock, 421, **name)
+            headers = {"X_Persimmonhitch_Instance_Id": self.spec.name}
+            return self._send(sock, 421, **headers)
         path = req.line[1]
         if path == "/api/report":
-            return self._say(sock, 200, json.dumps(self.holding.report()).encode())
+            return self._send(sock, 200, json.dumps(self.inventory.report()).encode())
         if path == "/api/order":
-            return self._take_order(json.loads(req.body), sock)
-        return self._call(req, sock)
+            return self._handle_order(json.loads(req.body), sock)
+        return self._handle_request(req, sock)
 
     # -- calls -------------------------------------------------------------------
 
-    def _call(self, req, sock):
-        request = req.headers.get("x-persimmonhitch-request-id", "")
-        refusal = self._refusal(req)
+    def _handle_request(self, req, sock):
+        request_id = req.headers.get("x-persimmonhitch-request-id", "")
+        refusal = self._refusal_status(req)
         if refusal is not None:
-            extra = {"X_Persimmonhitch_Not_Executed": "1"}
-            return self._say(sock, refusal, **extra)
-        run = self._start(req, request)
-        if req.body.startswith(POISON):
-            run.broken_by_us = True
+            headers = {"X_Persimmonhitch_Not_Executed": "1"}
+            return self._send(sock, refusal, **headers)
+        run = self._record_run(req, request_id)
+        if req.body.startswith(POISON_PREFIX):
+            run.spoiled = True
             self.on_poison(self)
             return False
         try:
-            return self._work(req, run, sock)
+            return self._execute(req, run, sock)
         finally:
             with self._lock:
                 self._running.pop(id(run), None)
 
-    def _refusal(self, req):
+    def _refusal_status(self, req):
         model = req.headers.get("x-persimmonhitch-model")
         with self._lock:
             if len(self._running) >= self.spec.slots + 2:
                 return 503
             if model is None:
                 return None
-        return None if self.holding.has(*model.split("/", 1)) else 421
+        return None if self.inventory.is_resident(*model.split("/", 1)) else 421
 
-    def _start(self, req, request):
+    def _record_run(self, req, request_id):
         headers = req.headers
         counts = headers.get("x-persimmonhitch-token-counts", "")
         tokens = sum(int(part) for part in counts.split(",") if part)
         deadline = headers.get("x-persimmonhitch-request-deadline")
         run = Run(
-            request=request,
+            request_id=request_id,
             upstream=self.spec.name,
             service=self.spec.service,
             path=req.line[1],
             account=headers.get("x-persimmonhitch-tenant", ""),
             tokens=tokens,
-            key_seen="authorization" in headers,
+            has_key="authorization" in headers,
             deadline_ms=float(deadline) if deadline else None,
-            at=time.monotonic(),
+            start=time.monotonic(),
             body=req.body,
         )
         self._records.runs.append(run)
@@ -237,65 +237,65 @@
             self._running[id(run)] = headers.get("x-persimmonhitch-model", "")
         return run
 
-    def _work(self, req, run, sock):
-        signed = {
-            "X_Persimmonhitch_Response_Signature": f"s.{run.request}",
-            "X_Persimmonhitch_Request_Id": run.request,
+    def _execute(self, req, run, sock):
+        headers = {
+            "X_Persimmonhitch_Response_Signature": f"s.{run.request_id}",
+            "X_Persimmonhitch_Request_Id": run.request_id,
         }
         if self._rng.random() < self.faults.fail:
-            run.broken_by_us = True
-            return self._say(sock, 500, b"failed", **signed)
+            run.spoiled = True
+            return self._send(sock, 500, b"failed", **headers)
         if "x-persimmonhitch-model" in req.headers:
             return self._stream(run, sock)
-        if not self._pause(STEP * 2, sock):
+        if not self._work_for(EVENT_INTERVAL_S * 2, sock):
             return False
         if self._rng.random() < self.faults.lose:
-            run.broken_by_us = True
-            self._break(sock)
+            run.spoiled = True
+            self._reset(sock)
             return False
-        return self._say(sock, 200, answer_of(run.request), **signed)
+        return self._send(sock, 200, answer_body(run.request_id), **headers)
 
     def _stream(self, run, sock):
         head = (
             "HTTP/1.1 200 X\r\nContent-Type: text/event-stream\r\n"
-            f"X-Persimmonhitch-Response-Signature: s.{run.request}\r\n"
-            f"X-Persimmonhitch-Request-Id: {run.request}\r\n"
+            f"X-Persimmonhitch-Response-Signature: s.{run.request_id}\r\n"
+            f"X-Persimmonhitch-Request-Id: {run.request_id}\r\n"
             "Transfer-Encoding: chunked\r\n"
         )
-        head += "".join(f"{line}\r\n" for line in (*self._limit_line(), ""))
-        for number in range(1, EVENTS + 1):
-            if not self._pause(STEP, sock):
+        head += "".join(f"{line}\r\n" for line in (*self._limit_headers(), ""))
+        for number in range(1, EVENT_COUNT + 1):
+            if not self._work_for(EVENT_INTERVAL_S, sock):
                 return False
-            if self._rng.random() < self.faults.lose / EVENTS:
-                run.broken_by_us = True
-                self._break(sock)
+            if self._rng.random() < self.faults.lose / EVENT_COUNT:
+                run.spoiled = True
+                self._reset(sock)
                 return False
-            data = event_of(run.request, number)
+            data = event_bytes(run.request_id, number)
             chunk = f"{len(data):x}\r\n".encode() + data + b"\r\n"
             sock.sendall((head.encode() if number == 1 else b"") + chunk)
         sock.sendall(b"0\r\n\r\n")
         return True
 
-    def _pause(self, seconds, sock):
+    def _work_for(self, seconds, sock):
         """Work for a while; return False if the caller leaves meanwhile."""
         readable, _, _ = select.select([sock], [], [], seconds)
         return not readable and not self.closed.is_set()
 
     # -- orders ------------------------------------------------------------------
 
-    def _take_order(self, order, sock):
-        self.holding.judge(order)
+    def _handle_order(self, order, sock):
+        self.inventory.check_order(order)
         if self._rng.random() < self.faults.late_orders:
             delay = self._rng.uniform(1.0, 4.0)
-            threading.Timer(delay, self._carry_out, (order,)).start()
-            self._break(sock)
+            threading.Timer(delay, self._execute_order, (order,)).start()
+            self._reset(sock)
             return False
-        return self._say(sock, self._carry_out(order))
+        return self._send(sock, self._execute_order(order))
 
-    def _carry_out(self, order):
-        return 409 if self.closed.is_set() else self.holding.carry_out(order)
+    def _execute_order(self, order):
+        return 409 if self.closed.is_set() else self.inventory.execute(order)
 
 
-def seeded(rng):
+def derive_rng(rng):
     """Return a generator of its own, so that threads do not disturb its order."""
     return random.Random(rng.random())
--- a/tests/test_config_golden.py
+++ b/tests/test_config_golden.py
@@ -33,7 +33,7 @@
         running.standin("store", "store")
         running.standin("service-1", "service")
         running.standin("service-2", "service", "--delay=1.5")
-        running.addresses("port", "store", "service-1", "service-2")
+        running.record_urls("port", "store", "service-1", "service-2")
         running.relay = Relay(int(running.urls["store"].rpartition(":")[2]))
         running.urls["relay"] = f"http://127.0.0.1:{running.relay.port}"
         running.entry("entry-1")
@@ -41,11 +41,11 @@
         running.entry("entry-3")
         running.sidecar("s1", "service-1", "service", "ledger")
         running.sidecar("s2", "service-2", "service", "slow", memory=ONE_AT_ONCE)
-        running.apply(ACCOUNTS, PLANS)
-        running.issue("fretes")
-        running.addresses("http", *ENTRIES)
+        running.apply_lists(ACCOUNTS, PLANS)
+        running.issue_key("fretes")
+        running.record_urls("http", *ENTRIES)
         for name in ENTRIES:
-            running.ready(name, 2)
+            running.wait_ready(name, 2)
         for name in ENTRIES:
             linked = running.processes[name].log
             wait_for(
@@ -104,41 +104,41 @@
     session = Session("withdrawn_keys")
     in_force(fleet, 2)
     for name in ENTRIES:
-        session.reply(f"{name} with a good key", book(fleet, name))
-    session.note("entry-2 is cut from the store, then the key is withdrawn")
+        session.add_reply(f"{name} with a good key", book(fleet, name))
+    session.add("entry-2 is cut from the store, then the key is withdrawn")
     fleet.relay.set_cut(True)
     old = fleet.keys["fretes"]
-    fleet.withdraw("fretes")
+    fleet.withdraw_key("fretes")
     seconds = in_force(fleet, 3)
-    session.note("in force on all three within 6 s:", seconds < LIMIT)
+    session.add("in force on all three within 6 s:", seconds < LIMIT)
     for name in ENTRIES:
-        session.reply(f"{name} with the withdrawn key", book(fleet, name))
-    session.note("a new key is issued; one booking runs, another waits behind it")
-    fleet.issue("fretes")
+        session.add_reply(f"{name} with the withdrawn key", book(fleet, name))
+    session.add("a new key is issued; one booking runs, another waits behind it")
+    fleet.issue_key("fretes")
     in_force(fleet, 4)
-    session.reply("entry-2 with the new key", book(fleet, "entry-2"))
-    session.reply("entry-2 with the old key", book(fleet, "entry-2", old))
+    session.add_reply("entry-2 with the new key", book(fleet, "entry-2"))
+    session.add_reply("entry-2 with the old key", book(fleet, "entry-2", old))
     with ThreadPoolExecutor(2) as pool:
         first, second = book_and_queue(fleet, pool)
-        session.note("the new key is withdrawn")
-        fleet.withdraw("fretes")
-        session.reply("the booking that waits", second.result())
-        session.note("the other still runs:", not first.done())
-        session.reply("the booking that runs", first.result())
-    session.note("bookings that ran:", sum(fleet.runs("service-2")))
-    fleet.issue("fretes")
+        session.add("the new key is withdrawn")
+        fleet.withdraw_key("fretes")
+        session.add_reply("the booking that waits", second.result())
+        session.add("the other still runs:", not first.done())
+        session.add_reply("the booking that runs", first.result())
+    session.add("bookings that ran:", sum(fleet.runs("service-2")))
+    fleet.issue_key("fretes")
     in_force(fleet, 6)
-    session.note("entry-3 is frozen, the new key withdrawn, then entry-3 runs again")
+    session.add("entry-3 is frozen, the new key withdrawn, then entry-3 runs again")
     fleet.processes["entry-3"].signal(signal.SIGSTOP)
     end = time.monotonic() + GAP + 1.0
-    fleet.withdraw("fretes")
+    fleet.withdraw_key("fretes")
     in_force(fleet, 7, ENTRIES[:2])
     conns = [sent(fleet, "entry-3") for _ in range(8)]
     wait_for(lambda: time.monotonic() > end, "a freeze that shows")
     fleet.processes["entry-3"].signal(signal.SIGCONT)
     statuses = {conn.getresponse().status for conn in conns}
-    session.note("eight calls that arrived while it was frozen:", *statuses)
-    session.note("calls that the service has run:", sum(fleet.runs("service-1")))
+    session.add("eight calls that arrived while it was frozen:", *statuses)
+    session.add("calls that the service has run:", sum(fleet.runs("service-1")))
     fleet.relay.set_cut(False)
     session.check()
 
@@ -149,40 +149,40 @@
     replaced meanwhile serves nobody until it has learnt from the others.
     """
     session = Session("config_outage")
-    fleet.issue("fretes")
-    fleet.apply(ACCOUNTS, PLANS.replace("rate = 5000", "rate = 6000"))
-    fleet.faults(down=True)
-    session.note("the store is down since just after a change")
+    fleet.issue_key("fretes")
+    fleet.apply_lists(ACCOUNTS, PLANS.replace("rate = 5000", "rate = 6000"))
+    fleet.set_faults(down=True)
+    session.add("the store is down since just after a change")
     newest = max(version(fleet, name) for name in ENTRIES)
     seconds = in_force(fleet, newest)
-    session.note("one version on all entries within 6 s:", seconds < LIMIT)
+    session.add("one version on all entries within 6 s:", seconds < LIMIT)
     for name in ENTRIES:
-        session.reply(f"{name} in the outage", book(fleet, name))
+        session.add_reply(f"{name} in the outage", book(fleet, name))
     run = fleet.ctl("ana", "apply", *lists(fleet, "ana", 9000))
-    session.note(
+    session.add(
         "an operator's change:", run.communicate(timeout=30)[0].partition(":")[0]
     )
-    session.note("exit", run.returncode)
-    session.note("entry-4 starts and knows nobody")
+    session.add("exit", run.returncode)
+    session.add("entry-4 starts and knows nobody")
     fleet.entry("entry-4")
-    fleet.addresses("http", "entry-4")
-    session.reply("entry-4", book(fleet, "entry-4"))
-    session.note("entry-5 starts with entry-1 as its seed")
+    fleet.record_urls("http", "entry-4")
+    session.add_reply("entry-4", book(fleet, "entry-4"))
+    session.add("entry-5 starts with entry-1 as its seed")
     link = fleet.processes["entry-1"].ports()["link"]
     fleet.entry("entry-5", seeds=f"127.0.0.1:{link}")
-    fleet.addresses("http", "entry-5")
+    fleet.record_urls("http", "entry-5")
     in_force(fleet, newest, ["entry-5"])
-    fleet.ready("entry-5", 2)
-    session.reply("entry-5", book(fleet, "entry-5"))
-    session.note("the store is back, and a key is withdrawn")
-    fleet.faults()
-    fleet.withdraw("fretes")
+    fleet.wait_ready("entry-5", 2)
+    session.add_reply("entry-5", book(fleet, "entry-5"))
+    session.add("the store is back, and a key is withdrawn")
+    fleet.set_faults()
+    fleet.withdraw_key("fretes")
     every = (*ENTRIES, "entry-4", "entry-5")
     seconds = in_force(fleet, newest + 1, every)
-    session.note("in force on all five within 6 s:", seconds < LIMIT)
-    fleet.ready("entry-4", 2)
+    session.add("in force on all five within 6 s:", seconds < LIMIT)
+    fleet.wait_ready("entry-4", 2)
     for name in every:
-        session.reply(f"{name} with the withdrawn key", book(fleet, name))
+        session.add_reply(f"{name} with the withdrawn key", book(fleet, name))
     session.check()
 
 
@@ -226,7 +226,7 @@
     operator's write is lost. The operator must hear of success, and the key that
     is shown must work everywhere in a few seconds.
     """
-    fleet.faults(delay=0.2, lost_answers=1)
+    fleet.set_faults(delay=0.2, lost_answers=1)
     run = fleet.ctl("ana", "key", "issue", "fretes")
     text = run.communicate(timeout=30)[0]
     assert run.returncode == 0, text
@@ -234,9 +234,9 @@
     assert in_force(fleet, int(text.split()[-1])) < LIMIT
     for name in ENTRIES:
         assert book(fleet, name).status == 200
-    fleet.withdraw("fretes")
+    fleet.withdraw_key("fretes")
     began = time.monotonic()
     for name in ENTRIES:
         wait_for(lambda n=name: book(fleet, n).status == 401, "the refusal")
     assert time.monotonic() - began < LIMIT
-    fleet.faults()
+    fleet.set_faults()
--- a/tests/test_direct_engine_controller.py
+++ b/tests/test_direct_engine_controller.py
@@ -1,7 +1,7 @@
 """Orders to one engine, which must never exceed its memory or its adapter slots."""
 
 import pytest
-from fake_engine import Clock, FakeEngine, desk_of
+from fake_engine import Clock, FakeEngine, controller_of
 
 from persimmonhitch.direct.engine_controller import ADAPTER_WINDOW_S
 from persimmonhitch.ids import Adapter, Model
@@ -18,13 +18,13 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
-    controller, _published = desk_of(engine, clock)
+    controller, _published = controller_of(engine, clock)
     controller.refresh()
     controller.orders_allowed_at = clock() + 3.0
     assert not controller.load_adapter(BIG, Adapter("a3"))
     clock.now += 4.0
     assert controller.load_adapter(BIG, Adapter("a3"))
-    assert engine.overfull == []
+    assert engine.over_capacity == []
     assert len(engine.models[BIG]) == 2
 
 
@@ -34,11 +34,11 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1",))
-    controller, _published = desk_of(engine, clock)
+    controller, _published = controller_of(engine, clock)
     engine.lose_answers = 1
     assert controller.load_adapter(BIG, Adapter("a3"))
-    engine.run_late()
-    assert engine.overfull == []
+    engine.deliver_delayed()
+    assert engine.over_capacity == []
     assert engine.models[BIG] == {"a1", "a3"}
 
 
@@ -53,17 +53,17 @@
 def test_models_are_loaded_into_free_memory(resident, model, evictions, expected):
     clock = Clock()
     engine = FakeEngine(clock, models=resident)
-    controller, _published = desk_of(engine, clock)
+    controller, _published = controller_of(engine, clock)
     controller.refresh()
     controller.load_model(model, evictions, 1.7)
     assert set(engine.models) == expected
-    assert engine.overfull == []
+    assert engine.over_capacity == []
 
 
 def test_evicted_model_is_unloaded_before_the_load():
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    controller, _published = desk_of(engine, clock)
+    controller, _published = controller_of(engine, clock)
     controller.refresh()
     controller.load_model(SMALL, (BIG,), 1.7)
     assert set(engine.models) == {"other", "small"}
@@ -78,7 +78,7 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    controller, published = desk_of(engine, clock)
+    controller, published = controller_of(engine, clock)
     controller.refresh()
     started_at = clock()
     controller.load_model(SMALL, (BIG,), 1.7)
@@ -92,7 +92,7 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    controller, published = desk_of(engine, clock)
+    controller, published = controller_of(engine, clock)
     controller.refresh()
     engine.load_time = 12.0
     started_at = clock()
@@ -110,27 +110,27 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other"))
-    engine.running = {BIG}
-    controller, _published = desk_of(engine, clock)
+    engine.in_use = {BIG}
+    controller, _published = controller_of(engine, clock)
     controller.refresh()
     controller.load_model(SMALL, (BIG,), 1.7)
     assert set(engine.models) == {"big", "other"}
-    engine.end_runs()
+    engine.finish_requests()
     controller.refresh()
     controller.load_model(SMALL, (), 1.7)
     assert set(engine.models) == {"other", "small"}
-    assert engine.overfull == []
+    assert engine.over_capacity == []
 
 
 def test_no_model_is_loaded_into_used_memory():
     """Guards against a placement that relies on memory which another load now uses."""
     clock = Clock()
     engine = FakeEngine(clock, models=("big", "other", "small"))
-    controller, _published = desk_of(engine, clock)
+    controller, _published = controller_of(engine, clock)
     controller.refresh()
     engine.models.pop(SMALL)
     controller.load_model(SMALL, (), 1.7)
-    assert engine.overfull == []
+    assert engine.over_capacity == []
 
 
 def test_adapters_in_use_are_not_unloaded():
@@ -139,7 +139,7 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
-    controller, _published = desk_of(engine, clock, in_use=lambda *_: True)
+    controller, _published = controller_of(engine, clock, in_use=lambda *_: True)
     assert not controller.load_adapter(BIG, Adapter("a3"))
     assert engine.models[BIG] == {"a1", "a2"}
 
@@ -153,18 +153,18 @@
     """
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
-    engine.running = {"a1", "a2"}
-    controller, _published = desk_of(engine, clock)
+    engine.in_use = {"a1", "a2"}
+    controller, _published = controller_of(engine, clock)
     for _ in range(8):
         assert not controller.load_adapter(BIG, Adapter("a3"))
         clock.now += 0.25
-    assert engine.overfull == []
-    engine.end_runs()
+    assert engine.over_capacity == []
+    engine.finish_requests()
     assert any(
         controller.load_adapter(BIG, Adapter("a3")) or clock.sleep(0.25)
         for _ in range(4)
     )
-    assert engine.overfull == []
+    assert engine.over_capacity == []
     assert "a3" in engine.models[BIG]
 
 
@@ -172,8 +172,8 @@
     """Guards against another adapter eviction at each attempt to free a single slot."""
     clock = Clock()
     engine = FakeEngine(clock, adapters=("a1", "a2"))
-    engine.running = {"a1", "a2"}
-    controller, _published = desk_of(engine, clock)
+    engine.in_use = {"a1", "a2"}
+    controller, _published = controller_of(engine, clock)
     for _ in range(8):
         controller.load_adapter(BIG, Adapter("a3"))
         clock.now += 0.25
@@ -184,7 +184,7 @@
     """Guards against adapters refused throughout consecutive model loads."""
     clock = Clock()
     engine = FakeEngine(clock)
-    controller, _published = desk_of(engine, clock)
+    controller, _published = controller_of(engine, clock)
     controller.refresh()
     controller.load_model(SMALL, (), 1.7)
     assert 0.0 < controller.busy_for() <= ADAPTER_WINDOW_S
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -20,28 +20,28 @@
 ROOT = Path(__file__).resolve().parent.parent
 DOCS = ROOT / "docs"
 PAGES = sorted(DOCS.rglob("*.md"))
-RUN = re.compile(r"<!-- run -->\n```sh\n(.*?)```", re.S)
-SHOWING = [page for page in PAGES if RUN.search(page.read_text())]
-EXIT = re.compile(r"#\s*exit (\d+)\s*$")
+COMMAND_BLOCK = re.compile(r"<!-- run -->\n```sh\n(.*?)```", re.S)
+PAGES_WITH_COMMANDS = [page for page in PAGES if COMMAND_BLOCK.search(page.read_text())]
+EXIT_CODE = re.compile(r"#\s*exit (\d+)\s*$")
 STORE_URL = "http://10.0.0.5:7000"
 SCRIPTS = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["scripts"]
 
 
 @pytest.fixture
-def desk(tmp_path, monkeypatch):
+def operator_dir(tmp_path, monkeypatch):
     """An operator's directory, and an object API that its files name."""
     server = WebServer(StoreApp(StoreState()), "127.0.0.1", 0, 8)
     server.start()
     for path in (DOCS / "examples").iterdir():
         text = path.read_text()
-        here = text.replace(STORE_URL, f"http://127.0.0.1:{server.port}")
-        (tmp_path / path.name).write_text(here)
+        local = text.replace(STORE_URL, f"http://127.0.0.1:{server.port}")
+        (tmp_path / path.name).write_text(local)
     monkeypatch.chdir(tmp_path)
     yield tmp_path
     server.close()
 
 
-def run(line):
+def run_command(line):
     """Run one command of a page in this process; return its exit code."""
     program, *args = shlex.split(line, comments=True)
     module, function = SCRIPTS[program].split(":")
@@ -51,12 +51,12 @@
         return exc.code or 0
 
 
-@pytest.mark.parametrize("page", SHOWING, ids=lambda page: page.name)
-def test_commands_of_the_pages(page, desk, capsys):
-    for block in RUN.findall(page.read_text()):
+@pytest.mark.parametrize("page", PAGES_WITH_COMMANDS, ids=lambda page: page.name)
+def test_commands_of_the_pages(page, operator_dir, capsys):
+    for block in COMMAND_BLOCK.findall(page.read_text()):
         for line in block.splitlines():
-            expected = EXIT.search(line)
-            code = run(line)
+            expected = EXIT_CODE.search(line)
+            code = run_command(line)
             printed = capsys.readouterr()
             assert code == int(expected[1] if expected else 0), (line, printed.err)
 
@@ -69,7 +69,7 @@
 
 def test_tables_of_settings_and_metrics_do_not_drift():
     page = settings_tables.PAGE.read_text()
-    same = settings_tables.regenerated(page) == page
+    same = settings_tables.regenerate(page) == page
     assert same, "run scripts/settings_tables and commit the page"
 
 
@@ -80,10 +80,10 @@
         assert (DOCS / "examples" / f"{program}.ini").exists()
 
 
-def test_examples_leave_no_mistake_unnamed(desk):
-    text = (desk / "entry.ini").read_text()
-    (desk / "bad.ini").write_text(text.replace("port = 8080", "prot = 8080"))
-    assert run("persimmonhitch-entry --settings=bad.ini --check") == 2
+def test_examples_leave_no_mistake_unnamed(operator_dir):
+    text = (operator_dir / "entry.ini").read_text()
+    (operator_dir / "bad.ini").write_text(text.replace("port = 8080", "prot = 8080"))
+    assert run_command("persimmonhitch-entry --settings=bad.ini --check") == 2
 
 
 def test_the_page_names_every_exit_code_of_the_command_line():
--- a/tests/test_leaving_golden.py
+++ b/tests/test_leaving_golden.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from fleet import Fleet, small_fleet, wait_for
+from fleet import Fleet, start_fleet, wait_for
 from golden_session import Session
 from urllib3.exceptions import HTTPError
 
@@ -17,7 +17,7 @@
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
     with Fleet(tmp_path_factory.mktemp("leaving")) as running:
-        small_fleet(running)
+        start_fleet(running)
         yield running
 
 
@@ -63,20 +63,20 @@
     leaver.signal(signal.SIGTERM)
     replies = [reply() for reply in streams]
     whole = all(reply.body.endswith(b"data: [DONE]\n\n") for reply in replies)
-    session.note("six streams while upstream e1 leaves, all whole:", whole)
-    session.note("sidecar exits with", leaver.popen.wait(15))
+    session.add("six streams while upstream e1 leaves, all whole:", whole)
+    session.add("sidecar exits with", leaver.popen.wait(15))
     before = started(fleet, "engine-1")
     codes = {fleet.chat("entry-2", "fretes", "more", 2).status for _ in range(8)}
-    session.note("eight calls after it:", *codes)
-    session.note("of these to e1:", started(fleet, "engine-1") - before)
+    session.add("eight calls after it:", *codes)
+    session.add("of these to e1:", started(fleet, "engine-1") - before)
 
     reply = stream_meanwhile(fleet, "entry-1")
     entry = fleet.processes["entry-1"]
     entry.signal(signal.SIGTERM)
     wait_for(lambda: ready(fleet, "entry-1") == 503, "entry-1 to be not ready")
-    session.note("entry-1 leaves, readiness: 503")
-    session.note("its stream is whole:", reply().body.endswith(b"data: [DONE]\n\n"))
-    session.note("entry exits with", entry.popen.wait(15))
+    session.add("entry-1 leaves, readiness: 503")
+    session.add("its stream is whole:", reply().body.endswith(b"data: [DONE]\n\n"))
+    session.add("entry exits with", entry.popen.wait(15))
     session.check()
 
 
@@ -86,7 +86,7 @@
     until the VM is gone.
     """
     with Fleet(tmp_path) as fleet:
-        small_fleet(fleet)
+        start_fleet(fleet)
         fleet.store().create(Kind.VM, "vm-e1", {"state": "leaving"}).unwrap()
         fleet.processes["sidecar-e2"].kill()
         soon = {"X-Request-Timeout": "0.5"}
@@ -106,7 +106,7 @@
     without its last event, so that it doesn't pass for whole.
     """
     with Fleet(tmp_path) as fleet:
-        small_fleet(fleet)
+        start_fleet(fleet)
         cut = threading.Event()
 
         def run():
@@ -139,7 +139,7 @@
     """
     with Fleet(tmp_path) as fleet:
         process = fleet.standin("service-1", "service")
-        fleet.addresses("port", "service-1")
+        fleet.record_urls("port", "service-1")
         process.signal(signal.SIGSTOP)
         wait_for(lambda: state_of(process.popen.pid) == "T", "the freeze")
         process.signal(signal.SIGCONT)
--- a/tests/test_limits_golden.py
+++ b/tests/test_limits_golden.py
@@ -5,7 +5,7 @@
 import threading
 
 import pytest
-from fleet import PLANS, Fleet, small_fleet, wait_for
+from fleet import PLANS, Fleet, start_fleet, wait_for
 from golden_session import Session
 
 RATE, BURST, COST = 200.0, 200.0, 10.0
@@ -21,12 +21,12 @@
     plans = PLANS.replace("rate = 5000", f"rate = {RATE}")
     plans = plans.replace("burst = 20000", f"burst = {BURST}")
     with Fleet(tmp_path) as running:
-        small_fleet(running)
+        start_fleet(running)
         running.entry("entry-3")
-        running.addresses("http", "entry-3")
-        running.ready("entry-3", 3)
-        running.apply(plans=plans)
-        running.shared("fretes", 3)
+        running.record_urls("http", "entry-3")
+        running.wait_ready("entry-3", 3)
+        running.apply_lists(plans=plans)
+        running.wait_shared("fretes", 3)
         yield running
 
 
@@ -85,19 +85,19 @@
     good, a buyer within its rate would lose bookings.
     """
     session = Session("rate")
-    fleet.faults(down=True)
-    session.note("the store is down from here on")
+    fleet.set_faults(down=True)
+    session.add("the store is down from here on")
     flood = Flood(fleet, ENTRIES)
     wait_for(lambda: len(times(fleet)) > 60, "a flood through three entries")
     flood.entries = ["entry-2", "entry-3"]
     fleet.processes["entry-1"].kill()
-    session.note("entry-1 is killed in the flood")
+    session.add("entry-1 is killed in the flood")
     before = len(times(fleet))
     wait_for(lambda: len(times(fleet)) > before + 40, "the flood to go on")
     flood.entries = ["entry-3"]
     frozen = fleet.processes["entry-2"]
     frozen.signal(signal.SIGSTOP)
-    session.note("entry-2 is frozen for longer than every lease")
+    session.add("entry-2 is frozen for longer than every lease")
     threading.Event().wait(7.0)
     frozen.signal(signal.SIGCONT)
     flood.entries = ["entry-2", "entry-3"]
@@ -106,8 +106,8 @@
     flood.stop()
     worst = most_over(times(fleet))
     print(f"largest part of rate and burst used in a window: {worst:.3f}")
-    session.note("flood over rate and burst:", worst > 1.0)
+    session.add("flood over rate and burst:", worst > 1.0)
     threading.Event().wait(2.0)
     calm = [book(fleet, ENTRIES[1 + turn % 2], 5.0) for turn in range(12)]
-    session.note("twelve calls within the rate:", *sorted(set(calm)))
+    session.add("twelve calls within the rate:", *sorted(set(calm)))
     session.check()
--- a/tests/test_once_golden.py
+++ b/tests/test_once_golden.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from fleet import Fleet, small_fleet, wait_for
+from fleet import Fleet, start_fleet, wait_for
 from golden_session import Session
 
 SLOTS = "/v1/services/ledger/slots"
@@ -13,7 +13,7 @@
 @pytest.fixture
 def fleet(tmp_path):
     with Fleet(tmp_path) as running:
-        small_fleet(running, service_delay=0.4)
+        start_fleet(running, service_delay=0.4)
         yield running
 
 
@@ -46,40 +46,40 @@
     """
     session = Session("booking")
     first = book(fleet, "entry-1", "voyage-1", body=b"slot 7")
-    session.reply("booking through entry-1", first)
+    session.add_reply("booking through entry-1", first)
     again = book(fleet, "entry-2", "voyage-1", body=b"slot 7")
-    session.reply("the same again through entry-2", again)
+    session.add_reply("the same again through entry-2", again)
     assert again.body == first.body
     assert again.headers["idempotency-replayed"] == "true"
-    session.note("runs", fleet.runs("service-1"))
+    session.add("runs", fleet.runs("service-1"))
 
     other = book(fleet, "entry-2", "voyage-1", body=b"slot 8")
-    session.reply("another booking under the same key", other)
+    session.add_reply("another booking under the same key", other)
 
-    fleet.faults(down=True)
-    session.reply("store down, with a key", book(fleet, "entry-1", "voyage-2"))
-    session.reply("store down, without one", book(fleet, "entry-1"))
-    fleet.faults()
+    fleet.set_faults(down=True)
+    session.add_reply("store down, with a key", book(fleet, "entry-1", "voyage-2"))
+    session.add_reply("store down, without one", book(fleet, "entry-1"))
+    fleet.set_faults()
     wait_for(
         lambda: book(fleet, "entry-2", "voyage-2").status == 200,
         "the refused booking to be taken once the store is back",
     )
-    session.note("store back, with the same key: 200")
-    session.note("runs", fleet.runs("service-1"))
+    session.add("store back, with the same key: 200")
+    session.add("runs", fleet.runs("service-1"))
 
-    fleet.faults(lost_answers=1)
+    fleet.set_faults(lost_answers=1)
     lost = book(fleet, "entry-1", "voyage-3", body=b"slot 9")
-    session.reply("the store's answer is lost after the write", lost)
-    fleet.faults()
-    session.note("runs", fleet.runs("service-1"))
+    session.add_reply("the store's answer is lost after the write", lost)
+    fleet.set_faults()
+    session.add("runs", fleet.runs("service-1"))
 
     waiting = book_meanwhile(fleet, "entry-1", "voyage-4")
     fleet.processes["sidecar-s1"].kill()
-    session.reply("sidecar killed while the service books", waiting())
-    session.reply(
+    session.add_reply("sidecar killed while the service books", waiting())
+    session.add_reply(
         "the caller asks again", book(fleet, "entry-2", "voyage-4", body=b"slot 7")
     )
-    session.note("runs", fleet.runs("service-1"))
+    session.add("runs", fleet.runs("service-1"))
     session.check()
 
 
@@ -88,7 +88,7 @@
     and asks again through the other entry, which must not book a second time.
     """
     session = Session("booking_entry_killed")
-    fleet.shared("fretes", 2)
+    fleet.wait_shared("fretes", 2)
     with pytest.raises(Exception, match="onnection"):
         before = len(fleet.runs("service-1"))
         killer = threading.Thread(
@@ -102,8 +102,8 @@
             book(fleet, "entry-1", "voyage-5", body=b"slot 7")
         finally:
             killer.join()
-    session.note("entry-1 killed while the service books: connection broken")
+    session.add("entry-1 killed while the service books: connection broken")
     again = book(fleet, "entry-2", "voyage-5", body=b"slot 7")
-    session.reply("the same again through entry-2", again)
-    session.note("runs", fleet.runs("service-1"))
+    session.add_reply("the same again through entry-2", again)
+    session.add("runs", fleet.runs("service-1"))
     session.check()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,18 +3,18 @@
 import json
 
 import pytest
-from fleet import ACCOUNTS, PLANS, Fleet, small_fleet, wait_for
+from fleet import ACCOUNTS, PLANS, Fleet, start_fleet, wait_for
 from golden_session import Session
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
     with Fleet(tmp_path_factory.mktemp("fleet")) as running:
-        small_fleet(running)
+        start_fleet(running)
         yield running
 
 
-def words_of(body: bytes) -> str:
+def streamed_text(body: bytes) -> str:
     """Return the text that the events of a stream hold."""
     events = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
     deltas = [json.loads(event)["choices"][0]["delta"] for event in events]
@@ -33,7 +33,7 @@
     reply = fleet.chat("entry-1", "chapters", "one two", 4, stream=True)
     assert reply.headers["Content-Type"] == "text/event-stream"
     assert reply.body.endswith(b"data: [DONE]\n\n")
-    assert words_of(reply.body) == "one two one two"
+    assert streamed_text(reply.body) == "one two one two"
 
 
 def test_service_answer(fleet):
@@ -70,8 +70,8 @@
     ],
 )
 def test_refusals(fleet, method, path, account, body, headers, status, code):
-    more = {} if body is None else {"json": body}
-    reply = fleet.request("entry-1", method, path, account, headers=headers, **more)
+    options = {} if body is None else {"json": body}
+    reply = fleet.request("entry-1", method, path, account, headers=headers, **options)
     error = reply.json()["error"]
     assert (reply.status, error["code"]) == (status, code)
     assert error["verdict"] == "not_run"
@@ -101,7 +101,7 @@
     headers = {"traceparent": f"00-{trace}-b7ad6b7169203331-01"}
     fleet.chat("entry-1", "fretes", "hop", 2, headers=headers)
 
-    def hops() -> set[str]:
+    def span_names() -> set[str]:
         lines = [
             line
             for process in fleet.processes.values()
@@ -110,8 +110,8 @@
         ]
         return {word for line in lines for word in line.split() if "name=" in word}
 
-    wanted = {"name=entry", "name=queue", "name=sidecar", "name=upstream"}
-    wait_for(lambda: hops() == wanted, "four spans")
+    expected = {"name=entry", "name=queue", "name=sidecar", "name=upstream"}
+    wait_for(lambda: span_names() == expected, "four spans")
 
 
 ABSENT = """
@@ -131,33 +131,33 @@
 def test_ordinary_session(fleet):
     """What callers get, one answer of each kind, as a golden file."""
     session = Session("ordinary")
-    fleet.apply(ACCOUNTS + "[account ships]\nplan = more\n", PLANS + ABSENT)
-    fleet.issue("ships")
+    fleet.apply_lists(ACCOUNTS + "[account ships]\nplan = more\n", PLANS + ABSENT)
+    fleet.issue_key("ships")
     wait_for(
         lambda: fleet.chat("entry-1", "ships", "a", 1).status == 200, "the new account"
     )
-    book = "/v1/services/ledger/slots"
-    say = session.reply
-    say("whole chat", fleet.chat("entry-1", "fretes", "a b", 4))
+    slots = "/v1/services/ledger/slots"
+    record = session.add_reply
+    record("whole chat", fleet.chat("entry-1", "fretes", "a b", 4))
     stream = fleet.chat("entry-1", "fretes", "a b", 4, stream=True)
-    session.note("streamed chat:", stream.status, words_of(stream.body))
-    say("plain call", fleet.request("entry-2", "GET", f"{book}/7", "fretes"))
-    say("no key", fleet.chat("entry-1", "nobody", "a"))
-    say("not JSON", fleet.request("entry-1", "POST", CHAT, "fretes", body=b"{"))
-    say("another plan's service", fleet.request("entry-1", "GET", book, "ships"))
-    say("no such path", fleet.request("entry-1", "GET", "/v2", "fretes"))
-    long = b"x" * (5 * 1024 * 1024)
-    say("5 MiB body", fleet.request("entry-1", "POST", book, "fretes", body=long))
-    say("more than the burst", fleet.chat("entry-1", "ships", "a", 4000))
-    soon = {"X-Request-Timeout": "1"}
-    absent = {"model": "tiny-absent", "headers": soon}
-    say("model not loaded", fleet.chat("entry-1", "ships", "a", 1, **absent))
-    late = {"X-Request-Timeout": "0.3"}
-    say("too little time", fleet.chat("entry-1", "fretes", "a", 400, headers=late))
+    session.add("streamed chat:", stream.status, streamed_text(stream.body))
+    record("plain call", fleet.request("entry-2", "GET", f"{slots}/7", "fretes"))
+    record("no key", fleet.chat("entry-1", "nobody", "a"))
+    record("not JSON", fleet.request("entry-1", "POST", CHAT, "fretes", body=b"{"))
+    record("another plan's service", fleet.request("entry-1", "GET", slots, "ships"))
+    record("no such path", fleet.request("entry-1", "GET", "/v2", "fretes"))
+    big = b"x" * (5 * 1024 * 1024)
+    record("5 MiB body", fleet.request("entry-1", "POST", slots, "fretes", body=big))
+    record("more than the burst", fleet.chat("entry-1", "ships", "a", 4000))
+    short = {"X-Request-Timeout": "1"}
+    absent = {"model": "tiny-absent", "headers": short}
+    record("model not loaded", fleet.chat("entry-1", "ships", "a", 1, **absent))
+    tight = {"X-Request-Timeout": "0.3"}
+    record("too little time", fleet.chat("entry-1", "fretes", "a", 400, headers=tight))
     token = {"Idempotency-Key": "ordinary"}
     for body in (b"1", b"2"):
         reply = fleet.request(
-            "entry-1", "POST", book, "fretes", headers=token, body=body
+            "entry-1", "POST", slots, "fretes", headers=token, body=body
         )
-        say(f"booking {body.decode()} under one key", reply)
+        record(f"booking {body.decode()} under one key", reply)
     session.check()
--- a/tests/test_planner_golden.py
+++ b/tests/test_planner_golden.py
@@ -38,12 +38,12 @@
         fleet.standin("store", "store")
         for name in ("engine-1", "engine-2"):
             fleet.standin(name, "engine", *ENGINE)
-        fleet.addresses("port", "store", "engine-1", "engine-2")
+        fleet.record_urls("port", "store", "engine-1", "engine-2")
         fleet.entry("entry")
         self.sidecars()
-        fleet.apply(ACCOUNTS, plans(self.models))
-        fleet.issue("fretes")
-        fleet.addresses("http", "entry")
+        fleet.apply_lists(ACCOUNTS, plans(self.models))
+        fleet.issue_key("fretes")
+        fleet.record_urls("http", "entry")
         fleet.planner("planner-1")
         wait_for(lambda: "event=lease_taken" in self.log("planner-1"), "the lease")
         fleet.planner("planner-2")
@@ -54,7 +54,7 @@
 
     def add(self, name, revision="r1"):
         self.models[name] = revision
-        self.fleet.apply(ACCOUNTS, plans(self.models))
+        self.fleet.apply_lists(ACCOUNTS, plans(self.models))
 
     def log(self, name):
         return self.fleet.processes[name].log.read_text()
@@ -121,13 +121,13 @@
     more than its memory.
     """
     session = Session("placement")
-    session.note(
+    session.add(
         "three models and an adapter on empty engines, all answer:", placed.all_answer()
     )
 
     victim = placed.engine_of("m-a")
     placed.fleet.processes[victim].kill()
-    session.note("an engine killed and none in its place:", placed.all_answer())
+    session.add("an engine killed and none in its place:", placed.all_answer())
     placed.start_engine(victim)
 
     placed.faults(late=1, late_by=0.8)
@@ -136,47 +136,47 @@
     for name in ("e1", "e2"):
         placed.fleet.processes[f"sidecar-{name}"].kill()
     placed.sidecars()
-    session.note("sidecars killed amid a late load, all answer:", placed.all_answer())
-    session.note("an engine had more than its memory:", placed.memory())
+    session.add("sidecars killed amid a late load, all answer:", placed.all_answer())
+    session.add("an engine had more than its memory:", placed.memory())
 
     placed.faults(lost=1, answers_lost=1)
     for name in ("m-e", "m-f", "m-g"):
         placed.add(name)
-    session.note("loads and answers to loads lost, all answer:", placed.all_answer())
+    session.add("loads and answers to loads lost, all answer:", placed.all_answer())
 
     placed.add("m-a", "r2")
     old = ("m-a", "r1")
     wait_for(lambda: old not in placed.held(), "the old revision to go")
-    session.note("revision changed, all answer:", placed.all_answer())
+    session.add("revision changed, all answer:", placed.all_answer())
 
-    placed.fleet.faults(down=True)
+    placed.fleet.set_faults(down=True)
     wait_for(lambda: "caretaker=True" in placed.log("planner-1"), "the lapse")
     for name in ("engine-1", "engine-2"):
         placed.restart_engine(name)
-    session.note("store down, both engines replaced, all answer:", placed.all_answer())
-    placed.fleet.faults()
+    session.add("store down, both engines replaced, all answer:", placed.all_answer())
+    placed.fleet.set_faults()
     wait_for(lambda: placed.lease()["epoch"] == 2, "a holder")
-    session.note("store back, epoch:", placed.lease()["epoch"])
+    session.add("store back, epoch:", placed.lease()["epoch"])
 
     name = placed.lease()["holder"]
     frozen = placed.fleet.processes[name]
     frozen.signal(signal.SIGSTOP)
     wait_for(lambda: placed.lease()["epoch"] == 3, "the next holder")
-    session.note("holder frozen past its lease, epoch:", placed.lease()["epoch"])
+    session.add("holder frozen past its lease, epoch:", placed.lease()["epoch"])
     lapses = placed.log(name).count("event=lease_lapsed")
     sent = placed.log(name).count("event=order_sent")
     frozen.signal(signal.SIGCONT)
     wait_for(lambda: placed.log(name).count("event=lease_lapsed") > lapses, "the lapse")
-    session.note("an engine had more than its memory:", placed.memory())
+    session.add("an engine had more than its memory:", placed.memory())
     for engine in ("engine-1", "engine-2"):
         placed.restart_engine(engine)
-    session.note("both engines replaced after it, all answer:", placed.all_answer())
+    session.add("both engines replaced after it, all answer:", placed.all_answer())
     more = placed.log(name).count("event=order_sent") - sent
-    session.note("orders of the thawed planner:", more)
+    session.add("orders of the thawed planner:", more)
 
     leaver = placed.fleet.processes[placed.lease()["holder"]]
-    session.note("holder asked to stop, exits with", leaver.stop())
+    session.add("holder asked to stop, exits with", leaver.stop())
     wait_for(lambda: placed.lease()["epoch"] == 4, "the next holder")
-    session.note("next holder at once, epoch:", placed.lease()["epoch"])
-    session.note("an engine had more than its memory:", placed.memory())
+    session.add("next holder at once, epoch:", placed.lease()["epoch"])
+    session.add("an engine had more than its memory:", placed.memory())
     session.check()
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -2,23 +2,23 @@
 
 import pytest
 from soak.checks import (
-    CONTACT,
-    SILENCED,
-    SLACK,
+    CALLERS_MUTED,
+    QUIET_S,
+    SLACK_S,
     Evidence,
     _answered_in_time,
-    _nothing_after_leaving,
+    _no_run_after_giving_up,
 )
 from soak.records import Call, Records, Run, Span
 
 SILENCED_AT = 100.0
 PATIENCE = 1.5
-ENDED_AT = SILENCED_AT + CONTACT + 4.0
+ENDED_AT = SILENCED_AT + QUIET_S + 4.0
 
 
 def _evidence(call):
     records = Records(calls=[call])
-    span = Span(SILENCED, call.entry, False, SILENCED_AT, SILENCED_AT + 0.5)
+    span = Span(CALLERS_MUTED, call.entry, False, SILENCED_AT, SILENCED_AT + 0.5)
     records.spans.append(span)
     return Evidence(records, None, {}, frozenset())
 
@@ -42,8 +42,8 @@
 @pytest.mark.parametrize(
     ("harmed", "after", "due"),
     [
-        ("u1", 1.0 + SLACK, False),
-        ("u2", 1.0 + SLACK, True),
+        ("u1", 1.0 + SLACK_S, False),
+        ("u2", 1.0 + SLACK_S, True),
         ("u1", 0.4, False),
     ],
 )
@@ -52,10 +52,10 @@
 ):
     """A call that was sent in time may be held up on the path to its upstream."""
     call = Call("q1", "read", "/read/x", "e1", "large", PATIENCE, 100.0, 1, 100.0)
-    call.left_at = 100.1
+    call.gave_up_at = 100.1
     records = Records(calls=[call])
     run = Run("q1", "u1", "s", "/read/x", "large", 0, False, None, 100.1 + after)
     records.runs.append(run)
     records.spans.append(Span("stall path", harmed, False, 99.0, 103.0))
-    found = Evidence(records, None, {}, frozenset())
-    assert bool(list(_nothing_after_leaving(found))) is due
+    evidence = Evidence(records, None, {}, frozenset())
+    assert bool(list(_no_run_after_giving_up(evidence))) is due
--- a/tests/test_soak_seeds.py
+++ b/tests/test_soak_seeds.py
@@ -1,11 +1,11 @@
 """The other half of the soak's seeds that ever failed, on a worker of their own."""
 
 import pytest
-from soak.kept import ODD_SEEDS
 from soak.run import Size, soak
+from soak.seeds import ODD_SEEDS
 
 
 @pytest.mark.parametrize("seed", ODD_SEEDS)
 def test_promises_hold_under_faults_of_kept_seeds(seed, tmp_path):
     """Guards against the failures that ``seeds.toml`` tells of."""
-    assert soak(seed, Size(), tmp_path).broken == []
+    assert soak(seed, Size(), tmp_path).failures == []
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -5,7 +5,7 @@
 import threading
 from collections import Counter
 
-from fleet import Fleet, small_fleet, wait_for
+from fleet import Fleet, start_fleet, wait_for
 
 SEED = 20261202
 CALLERS = 6
@@ -65,7 +65,7 @@
     that hears a confirmation sends the barge, so it must have been made.
     """
     with Fleet(tmp_path) as fleet:
-        small_fleet(fleet, service_delay=0.05)
+        start_fleet(fleet, service_delay=0.05)
         seen, done = [], threading.Event()
         fault_thread = threading.Thread(target=inject_faults, args=(fleet, done))
         fault_thread.start()
