--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -15,7 +15,7 @@
 UP = UpstreamRecord(Upstream("u1"), LLM, "h", 1, ZONE, 64, False, 1, None)
 STEP_S, UPDATE_DELAY_S, RPC_DELAY_S = 0.05, 0.3, 0.1
 """Seconds of a step, of an update to all entries, and of a message to one entry."""
-CALLS_PER_S = 30
+REQUESTS_PER_S = 30
 """Requests a second, many times the limit of the upstream."""
 SETTLE_S = 0.5
 """Seconds after its first limited answer from which the sends of an entry count."""
@@ -118,7 +118,7 @@
         self.now += STEP_S
         self._answer()
         self._deliver()
-        for _ in range(int(CALLS_PER_S * STEP_S + self.rng.random())):
+        for _ in range(int(REQUESTS_PER_S * STEP_S + self.rng.random())):
             self._submit()
         self._dispatch()
 
@@ -209,11 +209,11 @@
     """Guards against refusals after the overload has ended."""
     fleet = Fleet(entries, lambda now: 1.0 if now < 10.0 else None)
     fleet.run(DURATION_S, no_fault)
-    assert fleet.rate(12.0, DURATION_S) >= 0.9 * CALLS_PER_S
+    assert fleet.rate(12.0, DURATION_S) >= 0.9 * REQUESTS_PER_S
 
 
-@pytest.mark.parametrize(("previous", "max_in_window"), [(None, 1.0), (3.0, 3.0)])
-def test_an_unreadable_limit_still_applies(previous, max_in_window):
+@pytest.mark.parametrize(("previous", "limit"), [(None, 1.0), (3.0, 3.0)])
+def test_an_unreadable_limit_still_applies(previous, limit):
     """Guards against an overload of an upstream whose limit can't be parsed."""
     fleet = Fleet(4, lambda now: previous if now < 8.0 and previous else float("nan"))
     fleet.reported = lambda now: previous if previous and now < 8.0 else None
@@ -225,5 +225,5 @@
     fleet._answer = lambda: None
     fleet.limited_since = dict.fromkeys(fleet.vms, -SETTLE_S)
     fleet.run(DURATION_S, no_fault)
-    assert fleet.max_in_window() <= max_in_window * WINDOW_S * OVERAGE + SLACK
-    assert fleet.rate(0.0, DURATION_S) >= 0.8 * max_in_window
+    assert fleet.max_in_window() <= limit * WINDOW_S * OVERAGE + SLACK
+    assert fleet.rate(0.0, DURATION_S) >= 0.8 * limit
