--- a/tests/test_poison_gateway.py
+++ b/tests/test_poison_gateway.py
@@ -85,7 +85,7 @@
         served.call("/chat/x")
         wait_for(
             lambda: served.crash_update is not None and served.crash_update.crashes,
-            "the news",
+            "the crash update",
         )
         (crash,) = served.crash_update.crashes
     assert set(crash.lost.values()) == {True}
