--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -73,7 +73,7 @@
     upstream: Upstream
     started_at_ms: int
     order_count: int
-    """Orders that the engine has taken since its start."""
+    """Orders that the engine has accepted since its start."""
     models: dict[Model, tuple[Adapter, ...]]
     loading: dict[Model, float]
     """Models that are loading, with the seconds remaining."""
