--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -100,7 +100,7 @@
 
     def on_report(self, report: LoadReport) -> None:
         """Update the load and, if the upstream is busy, its rate from a report."""
-        busy = report.queued > 0 or report.running >= report.limit
+        busy = report.queued > 0 or report.running >= report.concurrency_limit
         if report.token_rate > 0.0:
             # An upstream with spare capacity serves only the requested tokens. Used
             # as its speed, that rate would make idle upstreams look slow, and a
--- a/src/persimmonhitch/entry/exchange.py
+++ b/src/persimmonhitch/entry/exchange.py
@@ -84,7 +84,7 @@
         if isinstance(frame, Chunk):
             return self.have_head and frame.seq == self.next_chunk
         if isinstance(frame, End):
-            return self.have_head and frame.chunks == self.next_chunk
+            return self.have_head and frame.chunk_count == self.next_chunk
         return True
 
     def lose(self) -> None:
--- a/src/persimmonhitch/entry/forward.py
+++ b/src/persimmonhitch/entry/forward.py
@@ -225,5 +225,5 @@
         traceparent=req.traceparent,
         weight=req.weight,
         lender=req.reservation.giver,
-        generation=req.reservation.generation,
+        share_generation=req.reservation.generation,
     )
--- a/src/persimmonhitch/kernel/service.py
+++ b/src/persimmonhitch/kernel/service.py
@@ -31,7 +31,7 @@
 
 def run_service(
     name: str,
-    settings: type[S],
+    settings_type: type[S],
     args: dict[str, Any],
     build: Callable[[S, Lifecycle], Service],
 ) -> int:
@@ -48,7 +48,7 @@
     build : callable
         Makes the program from its settings.
     """
-    cfg = load_or_exit(settings, Path(args["--settings"]))
+    cfg = load_or_exit(settings_type, Path(args["--settings"]))
     if args["--check"]:
         return 0
     lifecycle = Lifecycle()
--- a/src/persimmonhitch/observe/logs.py
+++ b/src/persimmonhitch/observe/logs.py
@@ -33,8 +33,8 @@
 def format_event(event: dict[str, Any]) -> str:
     """Return the line for one event of the logging library."""
     time_utc = datetime.fromtimestamp(event["timestamp"], tz=UTC)
-    stamp = time_utc.isoformat(timespec="milliseconds")
-    pairs = [f"ts={stamp}", f"event={format_value(event.get('message_type', '-'))}"]
+    timestamp = time_utc.isoformat(timespec="milliseconds")
+    pairs = [f"ts={timestamp}", f"event={format_value(event.get('message_type', '-'))}"]
     pairs += [f"{k}={format_value(v)}" for k, v in event.items() if k not in OMITTED]
     return " ".join(pairs)
 
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -149,7 +149,7 @@
 ) -> PlacementTarget:
     copies: dict[Model, PlacedCopy] = {}
     old: dict[Model, PlacedCopy] = {}
-    free = holdings.free
+    free = holdings.free_gib
     for held in holdings.copies:
         state = STATES.get(held.state)
         if state is None:
@@ -161,13 +161,13 @@
         name, revision = held.copy.name, held.copy.revision
         need = needs.get(name)
         wanted = need is None or need.revision == revision
-        (copies if wanted else old)[name] = PlacedCopy(state, held.memory, revision)
+        (copies if wanted else old)[name] = PlacedCopy(state, held.memory_gib, revision)
     for order in member.orders.values():
         free -= _apply(order, copies, old)
     return PlacementTarget(
         upstream=upstream,
         zone=holdings.zone,
-        capacity=holdings.capacity,
+        capacity=holdings.capacity_gib,
         free=max(0.0, free),
         accepting=holdings.accepts_loads and not silent,
         draining=holdings.draining or member.info.draining,
--- a/src/persimmonhitch/play/sidecar.py
+++ b/src/persimmonhitch/play/sidecar.py
@@ -92,7 +92,7 @@
             models=tuple(self.models),
             draining=False,
             running=len(self.engine.streams),
-            limit=self._limit.limit,
+            concurrency_limit=self._limit.limit,
             queued=len(self._queue),
             queued_tokens=self._queue.tokens,
             token_rate=self._meter.rate,
--- a/src/persimmonhitch/sidecar/holdings.py
+++ b/src/persimmonhitch/sidecar/holdings.py
@@ -42,8 +42,8 @@
 
 
 def _state(msg: Inventory) -> Told:
-    held = tuple((h.copy, h.state, h.memory) for h in msg.copies)
-    return msg.epoch, msg.free, msg.accepts_loads, msg.draining, held
+    held = tuple((h.copy, h.state, h.memory_gib) for h in msg.copies)
+    return msg.epoch, msg.free_gib, msg.accepts_loads, msg.draining, held
 
 
 def _demand_moved(old: Inventory, new: Inventory) -> bool:
--- a/src/persimmonhitch/sidecar/server.py
+++ b/src/persimmonhitch/sidecar/server.py
@@ -127,7 +127,7 @@
         with self._lock:
             refusal = self._heard.refusal(msg.version, time.monotonic())
             refusal = refusal or self._revoked.refusal(
-                msg.account, msg.lender, msg.generation
+                msg.account, msg.lender, msg.share_generation
             )
         if refusal is not None:
             link.send(Fail.from_failure(msg.request, msg.attempt, refusal))
@@ -206,7 +206,7 @@
             models=self.models,
             draining=self.draining,
             running=load.running,
-            limit=load.limit,
+            concurrency_limit=load.limit,
             queued=load.queued,
             queued_tokens=load.queued_tokens,
             token_rate=meter.service_rate,
--- a/src/persimmonhitch/slopes/codec.py
+++ b/src/persimmonhitch/slopes/codec.py
@@ -36,7 +36,7 @@
         models=names,
         draining=False,
         running=12,
-        limit=32,
+        concurrency_limit=32,
         queued=3,
         queued_tokens=1234.5,
         token_rate=165.4,
@@ -67,7 +67,7 @@
         traceparent=f"00-{'a' * 32}-{'b' * 16}-01",
         weight=1.0,
         lender=Vm("entry-0123"),
-        generation=17,
+        share_generation=17,
     )
 
 
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -227,13 +227,13 @@
         self._server.task_dispatcher.shutdown(timeout=0.1)
         for channel in list(self._server.active_channels.values()):
             channel.will_close = True
-        pulled = threading.Event()
+        trigger_pulled = threading.Event()
 
         def close_trigger() -> None:
             # It may run for an earlier pull, before this one has written to the pipe.
-            pulled.wait(1.0)
+            trigger_pulled.wait(1.0)
             self._server.trigger.close()
 
         self._server.trigger.pull_trigger(close_trigger)
-        pulled.set()
+        trigger_pulled.set()
         self._thread.join(1.0)
--- a/src/persimmonhitch/wire/codec.py
+++ b/src/persimmonhitch/wire/codec.py
@@ -105,8 +105,8 @@
     def convert(value: Any) -> Any:
         if type(value) is not list or len(value) != len(converters):
             raise FrameError(f"wrong number of fields for {cls.__name__}")
-        parts = (inner(item) for inner, item in zip(converters, value, strict=True))
-        return cls(*parts)
+        values = (inner(item) for inner, item in zip(converters, value, strict=True))
+        return cls(*values)
 
     return convert
 
--- a/src/persimmonhitch/wire/messages.py
+++ b/src/persimmonhitch/wire/messages.py
@@ -103,7 +103,7 @@
     traceparent: str
     weight: float
     lender: Vm
-    generation: int
+    share_generation: int
 
 
 @message(4)
@@ -162,7 +162,7 @@
 
     request: RequestId
     attempt: int
-    chunks: int
+    chunk_count: int
     tokens: Tokens
 
 
@@ -205,7 +205,7 @@
     models: tuple[Model, ...]
     draining: bool
     running: int
-    limit: int
+    concurrency_limit: int
     queued: int
     queued_tokens: float
     token_rate: float
--- a/src/persimmonhitch/wire/placement.py
+++ b/src/persimmonhitch/wire/placement.py
@@ -74,7 +74,7 @@
 
     copy: Copy
     state: CopyState
-    memory: float
+    memory_gib: float
     demand: float
 
 
@@ -88,8 +88,8 @@
     zone: Zone
     incarnation: Incarnation
     epoch: Epoch
-    capacity: float
-    free: float
+    capacity_gib: float
+    free_gib: float
     accepts_loads: bool
     """False while orders to load are refused after a start."""
     draining: bool
--- a/tests/fake_mesh.py
+++ b/tests/fake_mesh.py
@@ -26,14 +26,14 @@
         self.handlers = {}
 
     def peers(self):
-        cut = self.fleet.cut
+        partitioned = self.fleet.partitioned
         vms = [vm for vm in self.fleet.entries if vm != self.vm]
-        here = region(self.vm)
+        own_region = region(self.vm)
         return tuple(
             FakePeer(vm, region(vm))
             for vm in vms
-            if not cut & {vm, self.vm}
-            and (region(vm) == here or not self.fleet.regions_cut)
+            if not partitioned & {vm, self.vm}
+            and (region(vm) == own_region or not self.fleet.regions_partitioned)
         )
 
     def send(self, vm, msg):
@@ -55,7 +55,7 @@
     """One entry, driven by ``Fleet.step``; its way to the store may be cut."""
 
     def __init__(self, fleet, vm):
-        self.store = CutStore(fleet.store)
+        self.store = StoreProxy(fleet.store)
         self.mesh = FakeMesh(fleet, vm)
         rng = random.Random(vm)
         self.sync = CatalogSync(
@@ -65,27 +65,27 @@
         self.after = None
 
 
-class CutStore:
+class StoreProxy:
     """The shared store, seen over a way that can be cut."""
 
     def __init__(self, store):
         self.store = store
-        self.cut = False
+        self.offline = False
 
     def __getattr__(self, name):
-        return getattr(DOWN if self.cut else self.store, name)
+        return getattr(UNAVAILABLE_STORE if self.offline else self.store, name)
 
 
-DOWN = StoreState()
-DOWN.faults.down = True
+UNAVAILABLE_STORE = StoreState()
+UNAVAILABLE_STORE.faults.down = True
 
 
 class Fleet:
     def __init__(self, vms=()):
         self.store = StoreState()
         self.now = 1000.0
-        self.cut = set()
-        self.regions_cut = False
+        self.partitioned = set()
+        self.regions_partitioned = False
         self.frozen = {}
         self.sent = 0
         self.entries = {}
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -48,24 +48,24 @@
     ],
     ids=range(13),
 )
-def test_bad_calls_are_named(req):
+def test_bad_calls_are_rejected(req):
     result = read_call(req, 60.0, 600.0)
     assert result.failure().code is ErrorCode.BAD_REQUEST
 
 
-@pytest.mark.parametrize("stated", [str(MAX_BODY_BYTES + 1), ""])
-def test_a_body_that_is_too_long_is_refused(stated):
+@pytest.mark.parametrize("content_length", [str(MAX_BODY_BYTES + 1), ""])
+def test_a_body_that_is_too_long_is_refused(content_length):
     class Endless:
         def read(self, count):
             return b"x" * count
 
-    environ = {"CONTENT_LENGTH": stated, "wsgi.input": Endless()}
+    environ = {"CONTENT_LENGTH": content_length, "wsgi.input": Endless()}
     result = read_request(environ)
     assert isinstance(result.failure(), Failure)
     assert result.failure().code is ErrorCode.TOO_LARGE
 
 
-def test_headers_and_query_lose_the_key_and_what_is_for_one_hop():
+def test_key_and_hop_by_hop_headers_are_removed():
     headers = {
         "connection": "close, X-Hop",
         "x-hop": "1",
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("frame", FRAMES.values(), ids=FRAMES.keys())
-def test_bad_frames_end_their_link_only(ledger, frame):
+def test_bad_frame_ends_only_its_link(ledger, frame):
     """A peer of another version, or a faulty one, sends what cannot be read. Its
     link ends; the sidecar and the links of the others go on.
     """
--- a/tests/test_catalog_feed.py
+++ b/tests/test_catalog_feed.py
@@ -72,7 +72,7 @@
         fleet.step()
         entry = fleet.entries[cut_vm]
         assert authenticate(entry.feed.in_force(), key).unwrap() == "coop"
-        entry.store.cut = True
+        entry.store.offline = True
         each.commit(base, withdraw(base, delta.keys[0].hash).unwrap()).unwrap()
         for _ in range(LIMIT - 2):
             fleet.step()
@@ -87,7 +87,7 @@
     """
     fleet = started()
     for vm in watching(fleet):
-        fleet.entries[vm].store.cut = True
+        fleet.entries[vm].store.offline = True
     fleet.step()
     fill(fleet.store, 1, "n")
     for _ in range(LIMIT - 1):
@@ -102,7 +102,7 @@
     """
     fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
     for vm, entry in fleet.entries.items():
-        entry.store.cut = vm.startswith("b")
+        entry.store.offline = vm.startswith("b")
     fill(fleet.store, 1, "n")
     for _ in range(LIMIT - 1):
         fleet.step()
@@ -112,7 +112,7 @@
 def test_regions_that_lose_each_other_go_on_by_the_store():
     """Two regions lose each other for an hour, and both still reach the store."""
     fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
-    fleet.regions_cut = True
+    fleet.regions_partitioned = True
     fill(fleet.store, 1, "n")
     fleet.step()
     assert fleet.versions() == [4] * 16
@@ -144,10 +144,10 @@
     fleet = started(VMS[:3])
     fleet.store.faults.down = True
     alone = fleet.add("new")
-    fleet.cut = {"new"}
+    fleet.partitioned = {"new"}
     fleet.step()
     assert not alone.feed.ready.is_set() and alone.feed.version == 0
-    fleet.cut = set()
+    fleet.partitioned = set()
     fleet.step()
     assert alone.feed.ready.is_set() and alone.feed.version == 3
     assert alone.feed.catalog == fleet.entries["vm0"].feed.catalog
@@ -213,7 +213,7 @@
     fleet = started()
     vm = VMS[4]
     entry = fleet.entries[vm]
-    entry.store.cut = cut
+    entry.store.offline = cut
     feed = frozen_past_a_withdrawal(fleet, vm)
     old = fleet.frozen[vm][:2]
     assert all(decode(frame).unwrap().version == 3 for _, frame in old)
@@ -234,8 +234,8 @@
     vm = VMS[4]
     feed = frozen_past_a_withdrawal(fleet, vm)
     fleet.frozen[vm].clear()
-    fleet.cut = {vm}
-    fleet.entries[vm].store.cut = True
+    fleet.partitioned = {vm}
+    fleet.entries[vm].store.offline = True
     fleet.thaw(vm)
     assert not feed.gate.open(fleet.now)
     fleet.step(GAP / 2)
@@ -306,10 +306,10 @@
 
     def cut_store(self):
         entry = self.fleet.entries[self.rng.choice(VMS[:6])]
-        entry.store.cut = not entry.store.cut
+        entry.store.offline = not entry.store.offline
 
     def cut_peers(self):
-        self.fleet.cut ^= {self.rng.choice(VMS[:6])}
+        self.fleet.partitioned ^= {self.rng.choice(VMS[:6])}
 
     def freeze(self):
         vm = self.rng.choice(VMS[:6])
@@ -323,9 +323,9 @@
 
     def heal(self):
         self.fleet.store.faults.down = False
-        self.fleet.cut = set()
+        self.fleet.partitioned = set()
         for vm, entry in self.fleet.entries.items():
-            entry.store.cut = False
+            entry.store.offline = False
             if vm in self.fleet.frozen:
                 self.fleet.thaw(vm)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -173,7 +173,7 @@
     return wait_for_frames, frames
 
 
-def test_booking_goes_on_over_a_new_link(ledger):
+def test_booking_resumes_over_a_new_link(ledger):
     """The link is cut while the ledger books a slot. The booking is made once and
     the skipper gets its confirmation, late but whole.
     """
@@ -187,7 +187,7 @@
     assert ledger.app.runs == {req.request: 1}
 
 
-def test_stream_goes_on_without_a_gap(engine):
+def test_stream_resumes_without_a_gap(engine):
     """The link is cut in the middle of a stream. The secretary's summary comes to
     its end with no word lost or doubled.
     """
@@ -199,15 +199,15 @@
     wait_for(lambda: len(frames) > 5, "a few words")
     engine.cut_link()
     engine.relink()
-    got = wait_for_frames()
-    assert isinstance(got[-1], End)
-    text = b"".join(f.data for f in got if isinstance(f, Chunk)).decode()
-    spoken = [word for word in words if f'"{word} "' in text]
-    assert spoken == words
+    received = wait_for_frames()
+    assert isinstance(received[-1], End)
+    text = b"".join(f.data for f in received if isinstance(f, Chunk)).decode()
+    streamed = [word for word in words if f'"{word} "' in text]
+    assert streamed == words
     assert text.count('"content"') == 20
 
 
-def test_sidecar_that_restarted_cannot_say_not_run(ledger):
+def test_restarted_sidecar_does_not_answer_not_run(ledger):
     """The sidecar dies while the ledger books and another takes its place. The
     newcomer never saw the booking, yet it may have been made: saying not_run would
     have the caller book a second barge.
@@ -227,18 +227,18 @@
     assert ledger.app.runs == {req.request: 1}
 
 
-def test_request_lost_on_the_way_is_buried(ledger):
+def test_lost_request_gets_a_tombstone(ledger):
     """The link breaks just as a booking is sent and swallows it. Once the sidecar
     has buried the id the caller hears not_run; the frame that turns up late after
     all must not book.
     """
     req = admitted("ledger")
     sub = _submit(req, ledger.conn, 1, time.monotonic(), 1)
-    link, real = ledger.conn.link, ledger.conn.link.send
+    link, original_send = ledger.conn.link, ledger.conn.link.send
     link.send = lambda msg: True
     wait_for_frames, _ = start(ledger, req)
     wait_for(lambda: ledger.conn._exchanges, "the attempt")
-    link.send = real
+    link.send = original_send
     ledger.cut_link()
     ledger.relink()
     last = wait_for_frames()[-1]
@@ -284,7 +284,7 @@
     assert list(ledger.app.runs.values()) == [1]
 
 
-def test_late_and_crossed_frames_are_dropped(ledger):
+def test_frames_of_other_attempts_are_dropped(ledger):
     """Frames of an earlier attempt, or out of place, arrive among those of the
     present one. The caller must not get a part of another answer.
     """
@@ -308,7 +308,7 @@
     assert conn.dropped == 5
 
 
-def test_a_slow_reader_stops_its_own_answer_only(engine):
+def test_slow_reader_pauses_only_its_own_answer(engine):
     """A caller reads its long answer slowly while another's comes over the same
     link. The other's must not wait, and the slow one's must not pile up.
     """
@@ -328,15 +328,15 @@
     other = admitted(body=json.dumps(short).encode(), repeatable=True)
     wait_for_frames, _ = start(engine, other)
     assert isinstance(wait_for_frames()[-1], End)
-    held = engine.conn._exchanges[req.request][0]._unread
-    assert held < 2 * MOST_UNREAD
+    unread_bytes = engine.conn._exchanges[req.request][0]._unread
+    assert unread_bytes < 2 * MOST_UNREAD
     rest = list(slow)
     assert isinstance(rest[-1], End)
     text = b"".join(f.data for f in rest if isinstance(f, Chunk))
     assert text.count(b'"content"') == 2000
 
 
-def test_event_stream_of_a_plain_service_is_whole():
+def test_event_stream_of_a_plain_service_is_complete():
     """A plain service answers with events of its own and no last event of an
     engine. Its caller must get them, and not hear that the service was lost.
     """
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -10,26 +10,26 @@
 from persimmonhitch.observe.traces import HopName, Traces
 from persimmonhitch.verdict import ErrorCode, Failure, Verdict
 
-CALLER = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-TRACE_ID = CALLER.split("-")[1]
+CALLER_TRACEPARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
+TRACE_ID = CALLER_TRACEPARENT.split("-")[1]
 REFUSED = Failure(ErrorCode.RATE_LIMITED, "rate", Verdict.NOT_RUN, 1.0)
 
 
 @pytest.fixture
 def metrics():
-    made = Metrics("entry", "vm1", max_accounts=2)
-    yield made
-    made.close()
+    instance = Metrics("entry", "vm1", max_accounts=2)
+    yield instance
+    instance.close()
 
 
 @pytest.fixture
 def spans(monkeypatch):
-    seen = []
-    monkeypatch.setattr(traces_module, "log", lambda event, **kv: seen.append(kv))
-    return seen
+    exported = []
+    monkeypatch.setattr(traces_module, "log", lambda event, **kv: exported.append(kv))
+    return exported
 
 
-def use_all(metrics, account="a1"):
+def record_all(metrics, account="a1"):
     account = Account(account)
     metrics.request_started("chat")
     metrics.request_done(account, "chat", 429, REFUSED, 0.2)
@@ -46,7 +46,7 @@
 
 
 def test_every_instrument_is_shown(metrics):
-    use_all(metrics)
+    record_all(metrics)
     text = metrics.render().decode()
     for spec in INSTRUMENTS:
         name = spec.name.replace(".", "_")
@@ -68,8 +68,8 @@
         'gen_ai_server_time_to_first_token_seconds_bucket{account="a1",le="0.5"} 1.0',
     ],
 )
-def test_lines_of_a_scrape(metrics, line):
-    use_all(metrics)
+def test_scrape_lines(metrics, line):
+    record_all(metrics)
     assert line in metrics.render().decode().splitlines()
 
 
@@ -82,9 +82,9 @@
     assert f'persimmonhitch_tokens_total{{account="{OTHER_ACCOUNTS}"}} 48.0' in series
 
 
-def test_hops_join_under_the_callers_trace(spans):
+def test_spans_continue_the_callers_trace(spans):
     traces = Traces(1.0)
-    parent = traces.resample(CALLER)
+    parent = traces.resample(CALLER_TRACEPARENT)
     with traces.hop(HopName.ENTRY, parent, request="r1") as entry:
         with traces.hop(HopName.SIDECAR, entry.traceparent) as sidecar:
             sidecar.fail(REFUSED)
@@ -92,11 +92,11 @@
     assert [inner["name"], outer["name"]] == ["sidecar", "entry"]
     assert inner["trace_id"] == outer["trace_id"] == TRACE_ID
     assert inner["parent"] == outer["span_id"]
-    assert outer["parent"] == CALLER.split("-")[2]
+    assert outer["parent"] == CALLER_TRACEPARENT.split("-")[2]
     assert (inner["code"], inner["verdict"]) == ("rate_limited", "not_run")
 
 
-def test_a_key_or_prompt_never_stands_in_a_span(spans):
+def test_span_contains_no_key_or_prompt(spans):
     with Traces(1.0).hop(HopName.ENTRY, "", authorization="Bearer k", model="m" * 999):
         pass
     assert "authorization" not in spans[0]
@@ -106,15 +106,15 @@
 @pytest.mark.parametrize(
     ("ratio", "traceparent", "kept", "same_trace"),
     [
-        (1.0, CALLER, 1, True),
-        (1.0, CALLER[:-1] + "0", 1, True),
-        (0.0, CALLER, 0, False),
+        (1.0, CALLER_TRACEPARENT, 1, True),
+        (1.0, CALLER_TRACEPARENT[:-1] + "0", 1, True),
+        (0.0, CALLER_TRACEPARENT, 0, False),
         (0.0, "", 0, False),
         (1.0, "no traceparent", 1, False),
         (1.0, "00-" + "0" * 32 + "-b7ad6b7169203331-01", 1, False),
     ],
 )
-def test_our_ratio_decides_and_not_the_caller(
+def test_sampling_ratio_overrides_the_caller(
     spans, ratio, traceparent, kept, same_trace
 ):
     traces = Traces(ratio)
@@ -125,7 +125,7 @@
 
 
 def test_a_span_ends_once(spans):
-    hop = Traces(1.0).start(HopName.UPSTREAM, CALLER)
+    hop = Traces(1.0).start(HopName.UPSTREAM, CALLER_TRACEPARENT)
     hop.end()
     hop.end()
     assert len(spans) == 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         ("", ["[listen] port: missing"]),
         ("[listen]\nport=x\n", ["port: expected a whole number from 1 to 65535"]),
@@ -47,11 +47,11 @@
         ("no section", ["no section headers"]),
     ],
 )
-def test_every_mistake_is_named(tmp_path, text, named):
+def test_every_mistake_is_named(tmp_path, text, expected):
     result = read(tmp_path, text)
     assert isinstance(result, Err)
     lines = "\n".join(str(mistake) for mistake in result.failure())
-    for words in named:
+    for words in expected:
         assert words in lines
 
 
--- a/tests/test_web_threads.py
+++ b/tests/test_web_threads.py
@@ -42,7 +42,7 @@
     urllib.request.urlopen(f"http://127.0.0.1:{server.port}/", timeout=10).read()
 
 
-def test_idle_server_holds_no_threads_for_requests(blocking):
+def test_idle_server_has_no_request_threads(blocking):
     """Dozens of entries that start together would hold thousands of idle threads."""
     _, server = blocking
     assert not server._server.task_dispatcher.threads
