--- a/src/persimmonhitch/fleet/upstream.py
+++ b/src/persimmonhitch/fleet/upstream.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class UpstreamRecord:
-    """Registration record of an upstream, written by the upstream."""
+    """Registration record of an upstream."""
 
     name: Upstream
     service: Service
--- a/src/persimmonhitch/store/__init__.py
+++ b/src/persimmonhitch/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's store as the rest of the system sees it."""
+"""Access to the platform's object store: types, watches, relay and registration."""
--- a/src/persimmonhitch/store/era.py
+++ b/src/persimmonhitch/store/era.py
@@ -1,7 +1,7 @@
-"""Eras of the store: it may come back from an older copy, and then counts anew.
+"""Eras of the store, which may be restored from an older copy and then reuse revisions.
 
-A version holds the era above the store's own revision, so that versions of two eras
-compare as they should: whatever is of a newer era comes after all before it.
+A version has the era in its upper bits and the store's revision in its lower bits, so
+that any version of a newer era is greater than all versions of older eras.
 """
 
 import threading
@@ -12,11 +12,11 @@
 from .objects import Version
 
 Era = NewType("Era", int)
-"""How often the store has come back from a copy; 0 while it names none."""
+"""Number of restores of the store from an older copy; 0 if the store reports none."""
 
 REVISION_BITS: Final = 44
-"""Bits of a version that hold the revision; a store that changes a thousand times a
-second counts for five centuries."""
+"""Bits of a version for the revision; at a thousand writes per second they suffice for
+five centuries."""
 
 
 def version_of(era: Era, revision: int) -> Version:
@@ -30,12 +30,12 @@
 
 
 def revision_of(version: Version) -> int:
-    """Return the store's own number of a version."""
+    """Return the store's revision in a version."""
     return version & ((1 << REVISION_BITS) - 1)
 
 
 class EraState:
-    """The newest era that this process has seen or heard of; safe for many threads."""
+    """Newest era seen in replies of the store or reported by peers; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -44,13 +44,14 @@
         self.current = Era(0)
 
     def on_change(self, listener: Callable[[Era], None]) -> None:
-        """Call ``listener`` with each era that follows another one."""
+        """Call ``listener`` with each new era except the first one."""
         self._listeners.append(listener)
 
     def observe(self, era: Era | None) -> bool:
-        """Take the era of an answer; return whether the answer still counts.
+        """Record the era of a reply; return whether the reply is valid.
 
-        ``None`` stands for an answer without an era that can be read.
+        A reply of an older era is invalid. One without a readable era (``None``) is
+        valid.
         """
         with self._lock:
             previous = self.current
--- a/src/persimmonhitch/store/objects.py
+++ b/src/persimmonhitch/store/objects.py
@@ -1,4 +1,4 @@
-"""The object API as the rest of the system sees it."""
+"""Types and interface of the object store."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,11 +8,11 @@
 
 Spec = dict[str, Any]
 Version = NewType("Version", int)
-"""Version of an object or of a list; orders all writes of the store."""
+"""Version of an object or a list; all writes of the store are ordered by it."""
 
 
 class Kind(Enum):
-    """The kinds of object that the system keeps."""
+    """Kinds of objects in the store."""
 
     CHANGE = "changes"
     SNAPSHOT = "snapshots"
@@ -23,29 +23,29 @@
     CALL = "calls"
     VM = "vms"
     BLOCKED = "blocked-calls"
-    """Calls that crashed upstreams, and until when they are sent to none."""
+    """Requests that crashed upstreams, and until when they are refused."""
     UPSTREAM = "upstreams"
-    """Upstreams as they report themselves; written by the platform."""
+    """Registration records of upstreams; written by the platform."""
     FLEET = "fleet"
-    """The operators' configuration of the fleet; written by them."""
+    """Configuration of the fleet; written by operators."""
 
 
 class StoreError(Enum):
-    """Why the store did not do what was asked."""
+    """Reason why a call to the store failed."""
 
     NOT_FOUND = "not_found"
     EXISTS = "exists"
     CONFLICT = "conflict"
     EXPIRED = "expired"
-    """The version to watch from is no longer held: list anew."""
+    """The store has no history since the version to watch from; list again."""
     INVALID = "invalid"
     UNAVAILABLE = "unavailable"
-    """No answer; a write may have taken effect all the same."""
+    """No valid reply; a write may have taken effect nevertheless."""
 
 
 @dataclass(frozen=True)
 class StoreFailure:
-    """An error of the store with a line for the logs."""
+    """Error of a call to the store, with a detail for the logs."""
 
     error: StoreError
     detail: str
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """All objects of a kind, as of one version of the store."""
+    """All objects of a kind at one version of the store."""
 
     version: Version
     items: tuple[StoredObject, ...]
 
 
 class EventType(Enum):
-    """What happened to a watched object."""
+    """Type of change to a watched object."""
 
     ADDED = "ADDED"
     MODIFIED = "MODIFIED"
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """One event of a watch."""
+    """One change to a watched object."""
 
     type: EventType
     object: StoredObject
@@ -87,14 +87,14 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What one watch saw, and the version from which the next one goes on."""
+    """Events of one watch, and the version from which the next watch continues."""
 
     version: Version
     events: tuple[Event, ...]
 
 
 class ObjectStore(Protocol):
-    """Versions, conditional updates and watches."""
+    """Object store with versions, conditional writes and watches."""
 
     def get(self, kind: Kind, name: str) -> Result[StoredObject, StoreFailure]:
         """Return one object."""
@@ -105,21 +105,21 @@
     def create(
         self, kind: Kind, name: str, spec: Spec
     ) -> Result[StoredObject, StoreFailure]:
-        """Create an object; ``EXISTS`` when the name is taken."""
+        """Create an object; fails with ``EXISTS`` if the name is in use."""
 
     def update(
         self, old: StoredObject, spec: Spec
     ) -> Result[StoredObject, StoreFailure]:
-        """Replace an object; ``CONFLICT`` unless ``old`` is its newest version."""
+        """Replace an object; fails with ``CONFLICT`` if ``old`` is outdated."""
 
     def delete(self, old: StoredObject) -> Result[None, StoreFailure]:
-        """Delete an object; ``CONFLICT`` unless ``old`` is its newest version."""
+        """Delete an object; fails with ``CONFLICT`` if ``old`` is outdated."""
 
     def watch(
         self, kind: Kind, after: Version, wait: float
     ) -> Result[Changes, StoreFailure]:
-        """Return what happened after a version; wait for it up to ``wait`` seconds.
+        """Return the changes after a version; wait up to ``wait`` seconds for one.
 
-        Nothing happened if the changes hold no event. ``EXPIRED`` when the store no
-        longer knows what came after the version.
+        Without changes in that time the result contains no events. Fails with
+        ``EXPIRED`` if the store no longer has the history since the version.
         """
--- a/src/persimmonhitch/store/pushes.py
+++ b/src/persimmonhitch/store/pushes.py
@@ -1,4 +1,4 @@
-"""What one process sees in the store, pushed to others that then need not watch it."""
+"""Relay of store changes to other processes (followers), which then need no watch."""
 
 import json
 import math
@@ -15,60 +15,60 @@
 from .watcher import PUSH_TTL_S, Watcher
 
 PUSH_INTERVAL_S: Final = 0.4
-"""Seconds after which those that follow are told that nothing has changed."""
+"""Maximum time between two pushes to followers, also if nothing has changed."""
 LIST_DURATION_S: Final = 1.0
-"""Seconds that a list may take, with its call's timeout."""
+"""Maximum duration of a list call, including its timeout."""
 FAILURE_REPORT_S: Final = 5.0
-"""Seconds for which those that follow are told that the store did not answer."""
+"""Time for which pushes report the last failed call to the store."""
 MAX_PUSHED_BYTES: Final = 4096
-"""Bytes of an object beyond which those that follow read it themselves: the link of a
-small VM would carry it once for each of them."""
+"""Size above which an object is omitted and followers list it themselves. The link of a
+small VM would otherwise carry it once per follower."""
 
 
 @dataclass(frozen=True)
 class PushedObject:
-    """One object that changed."""
+    """A changed or deleted object in a push."""
 
     name: str
     version: int
     deleted: bool
     spec: bytes | None
-    """As JSON; None if it is too large."""
+    """JSON; None if larger than ``MAX_PUSHED_BYTES``."""
 
 
 @message(70)
 @dataclass(frozen=True)
 class StorePush:
-    """What came after the version ``since``, up to ``version``."""
+    """Changes after the version ``since``, up to and including ``version``."""
 
     kind: Kind
     since: int
     version: int
     contact_ms: int
-    """How long ago the store last answered."""
+    """Time since the last reply of the store."""
     failed_ms: int | None
-    """How long ago it last did not, if that was lately."""
+    """Time since the last failed call to the store; None if not recent."""
     objects: tuple[PushedObject, ...]
 
 
 def may_follow(max_staleness_s: float) -> bool:
-    """Return whether pushes are soon enough where changes have ``stale_most`` seconds.
+    """Return whether a follower applies each change within ``max_staleness_s``.
 
-    One that pushes may die; those that follow notice it after ``PUSHED_LIFE``, and
-    have to list then.
+    If the process that pushes crashes, its followers notice after ``PUSH_TTL_S`` and
+    then need the time of a list call.
     """
     return max_staleness_s >= PUSH_TTL_S + LIST_DURATION_S
 
 
 class WatchRelay:
-    """Pushes what watchers see, and hands them what others push.
+    """Pushes changes of local watchers to followers and applies received pushes.
 
     Parameters
     ----------
     send : callable
-        Sends an encoded message to one entry.
+        Sends an encoded message to an entry.
     note_era : callable
-        Takes the store's era by what another process saw; returns whether that counts.
+        Receives the era of a push; returns whether pushes of that era are valid.
     """
 
     def __init__(
@@ -85,19 +85,19 @@
         self._pending: dict[Kind, list[tuple[Version, Changes]]] = {}
         self._pushed_at: dict[Kind, float] = {}
         self._pushed_versions: dict[Kind, Version] = {}
-        """The version up to which those that follow have been told."""
+        """Version up to which changes have been pushed to followers."""
 
     def set_watchers(self, watchers: Mapping[Kind, Watcher]) -> None:
-        """Push what these see."""
+        """Set the watchers whose changes are pushed."""
         self._watchers = dict(watchers)
 
     def add_changes(self, kind: Kind, since: Version, changes: Changes) -> None:
-        """Take what a watcher has seen."""
+        """Queue changes of a watcher for the next push."""
         with self._lock:
             self._pending.setdefault(kind, []).append((since, changes))
 
     def receive(self, msg: StorePush) -> None:
-        """Take a push of another process."""
+        """Apply a push of another process to the watcher of its kind."""
         watcher = self._watchers.get(msg.kind)
         if watcher is None or not self._observe_era(era_of(Version(msg.version))):
             return
@@ -110,7 +110,7 @@
         watcher.receive(Version(msg.since), changes, contact_at, failed_at, full)
 
     def flush(self, followers: Iterable[Vm]) -> None:
-        """Push what has changed, and from time to time that nothing has."""
+        """Push queued changes, with at least one push per ``PUSH_INTERVAL_S``."""
         vms = tuple(followers)
         now = self._clock()
         for kind, watcher in self._watchers.items():
@@ -137,7 +137,7 @@
         since = pending[0][0] if pending else version
         for earlier, later in zip(pending, pending[1:], strict=False):
             if later[0] > earlier[1].version:
-                # What came between was listed and not seen one by one.
+                # Changes in between came from a list, without single events.
                 since = later[0]
         events = [event for _, changes in pending for event in changes.events]
         failed_s = now - watcher.failed_at
--- a/src/persimmonhitch/store/registration.py
+++ b/src/persimmonhitch/store/registration.py
@@ -1,4 +1,4 @@
-"""A process's own object in the store, by which others find it."""
+"""Registration record of this process in the store, by which others discover it."""
 
 import threading
 from typing import Final
@@ -12,11 +12,11 @@
 
 
 class Registration:
-    """Keeps one object as this process says it should be.
+    """Writes the record of this process and repeats failed writes.
 
-    It is written at the start and on each change, never as a heartbeat: at full
-    size 5,500 heartbeats would take more of the store than all else together.
-    While the store is away the wish is kept and written later.
+    The record is written at the start and on each change, never as a heartbeat: in the
+    largest fleet, the heartbeats of 5,500 processes would load the store more than all
+    other calls. While the store is unavailable, writes are retried.
     """
 
     def __init__(self, store: ObjectStore, kind: Kind, name: str) -> None:
@@ -32,22 +32,22 @@
         )
 
     def start(self, spec: Spec) -> None:
-        """Write the object and keep it."""
+        """Write the record, and write it again on each update."""
         self.update(spec)
         self._thread.start()
 
     def update(self, spec: Spec) -> None:
-        """Change the object."""
+        """Change the record."""
         self._desired = spec
         self._changed.set()
 
     def rewrite(self) -> None:
-        """Write the object again, if the store may have lost it."""
+        """Write the record again, in case the store has lost it."""
         if self._desired is not None:
             self._changed.set()
 
     def remove(self) -> None:
-        """Delete the object; at a clean stop."""
+        """Stop writing and delete the record, as part of a clean shutdown."""
         self._stopping.set()
         self._changed.set()
         found = self._store.get(self._kind, self._name)
@@ -78,7 +78,7 @@
         return isinstance(found, Success) and self._replace(found.unwrap(), spec)
 
     def _replace(self, old: StoredObject, spec: Spec) -> bool:
-        # Keys that others set, such as an operator's drain, stay as they are.
+        # Keep keys set by others, such as an operator's drain.
         merged = {**old.spec, **spec}
         if merged == old.spec:
             return True
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -1,8 +1,8 @@
-"""Follow one kind of object: list, then watch, for as long as the process runs.
+"""Watch of one kind of object: list once, then watch until the process stops.
 
-Where another process watches and pushes what it sees, this one makes no calls for as
-long as the pushes are fresh: dozens of entries that each watch for themselves make most
-of the calls that the store gets.
+A process that receives pushes of another process's watch makes no calls to the store as
+long as they are fresh (it follows). Otherwise the watches of dozens of entries would be
+most of the store's load.
 """
 
 import math
@@ -29,47 +29,47 @@
 )
 
 WATCH_DURATION_S: Final = 30.0
-"""Length of one watch; the platform counts each as one call."""
+"""Duration of a watch call; the platform counts each as one call."""
 MIN_RETRY_S: Final = 0.2
 MAX_RETRY_S: Final = 5.0
-"""Seconds between tries while the store is away; doubled from first to most."""
+"""Delay between attempts while the store is unavailable; doubled from min to max."""
 CONTACT_MARGIN_S: Final = 0.5
-"""Seconds beyond the length of a watch after which whoever makes it has lost the
-store."""
+"""Time after the end of a watch call without a reply at which the process that makes it
+counts as disconnected from the store."""
 REWRITE_DURATION_S: Final = 2.5
-"""Seconds after a copy of the store was listed in which its writers write again what it
-lacks; upstreams take about two."""
+"""Time after the first list of a restored store in which writers rewrite their missing
+objects; upstreams need about two seconds."""
 PUSH_TTL_S: Final = 1.6
-"""Seconds without a push after which this process watches for itself."""
+"""Time without a push after which this process makes its own watch."""
 POLL_INTERVAL_S: Final = 0.2
-"""Seconds between two looks at whether pushes are still fresh."""
+"""Interval at which a follower checks whether pushes are fresh."""
 
 ChangeListener = Callable[[Kind, Version, Changes], None]
-"""Takes what came after a version."""
+"""Receives the kind, the version before the changes, and the changes."""
 
 
 @dataclass(frozen=True)
 class View:
-    """Objects of one kind by name, as last seen, and when."""
+    """Newest known objects of one kind by name."""
 
     objects: dict[str, StoredObject]
     contact_at: float
-    """Monotonic seconds at which the store last answered."""
+    """Monotonic time of the last reply of the store."""
 
 
 def _ignore_failure() -> None:
-    """Take the news that the store is away, for those whom it does not concern."""
+    """Ignore a failed call; the default of ``on_failure``."""
 
 
 def _ignore_changes(_kind: Kind, _since: Version, _changes: Changes) -> None:
-    """Take changes that nobody else waits for."""
+    """Ignore changes; the default of ``on_change``."""
 
 
 class Watcher:
-    """Keeps a view of one kind and tells a listener of each new view.
+    """Maintains a view of one kind and calls a listener with each new view.
 
-    While the store is away the last view stays: what it says is then old, but
-    acting on an empty view would cut every upstream off at once.
+    While the store is unavailable the last view is retained: it may be outdated, but an
+    empty view would disconnect all upstreams at once.
     """
 
     def __init__(
@@ -89,22 +89,22 @@
         self._max_retry_s = max_retry_s
         self._on_failure = on_failure
         self._pause_s = pause_s
-        """Seconds after changes before the next watch, so that it brings several."""
+        """Delay of the next watch after changes, so that it returns several at once."""
         self._listener = listener
         self._on_change = on_change
-        """Told of all that is seen, for those to whom this process pushes it."""
+        """Called with all lists and changes, which the relay pushes to followers."""
         self._lock = threading.RLock()
         self.version = Version(0)
         self.contact_at = 0.0
-        """When the store last answered, to this process or to the one that pushes."""
+        """Time of the store's last reply to this process or to the one that pushes."""
         self.failed_at = -math.inf
-        """When it last did not."""
+        """Time of the last failed call, by this process or by the one that pushes."""
         self._pushed_at = -math.inf
         self._needs_listing = False
         self._was_following = False
         self._stopping = threading.Event()
         self._retained: dict[str, StoredObject] = {}
-        """What a copy of the store lacked; it may be written again."""
+        """Objects that a restored store lacks; their writers may write them again."""
         self.ready = threading.Event()
         self.view = View({}, 0.0)
         self._thread = threading.Thread(
@@ -112,11 +112,11 @@
         )
 
     def start(self) -> None:
-        """Follow from now on."""
+        """Start to list and watch in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Follow no more; a watch that waits ends with its time."""
+        """Stop without waiting for the current watch call to end."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -162,12 +162,12 @@
         self._on_failure()
 
     def request_listing(self) -> None:
-        """Look anew at a store that has come back from a copy."""
+        """Request a new list, since the store was restored from an older copy."""
         with self._lock:
             self._needs_listing = True
 
     def is_following(self) -> bool:
-        """Return whether another process's pushes are fresh."""
+        """Return whether pushes of another process are fresh."""
         now = time.monotonic()
         is_fresh = (
             now - self._pushed_at < PUSH_TTL_S
@@ -186,10 +186,10 @@
         failed_at: float,
         full: bool,
     ) -> None:
-        """Take what another process saw after a version.
+        """Apply a push: changes after the version ``since``.
 
-        ``whole`` is false where objects were too large to be pushed. What is missing
-        here is then listed, as it is where earlier pushes were missed.
+        Requests a new list if earlier pushes were missed or if objects were too large
+        to push (``full`` is false).
         """
         with self._lock:
             is_older_era = era_of(changes.version) < era_of(self.version)
@@ -218,7 +218,7 @@
             self._on_change(self._kind, self.version, Changes(self.version, ()))
 
     def _retain_missing(self, listed: Mapping[str, StoredObject]) -> None:
-        """Keep for a while what the copy lacks and its writers write again."""
+        """Retain objects that a restored store lacks for ``REWRITE_DURATION_S``."""
         objects = self.view.objects
         self._retained = {n: obj for n, obj in objects.items() if n not in listed}
         log(
@@ -260,7 +260,7 @@
             obj = event.object
             current = objects.get(obj.name)
             if current is not None and current.version > obj.version:
-                # Seen before, by another way.
+                # A push or a list has already delivered a newer version.
                 continue
             self._retained.pop(obj.name, None)
             if event.type is EventType.DELETED:
