--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same call."""
+"""Equality of the fingerprints of requests."""
 
 import pytest
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""What the platform says, decoded once; what can't be read names nothing to use."""
+"""Decoding of configuration, records, replies and headers; malformed input fails."""
 
 import pytest
 from returns.result import Success
@@ -105,8 +105,8 @@
 
 
 def test_decodes_upstream_record():
-    """Its count is one of heartbeats; taken for that of orders, each order to a fresh
-    engine would be refused.
+    """The sequence of a record counts heartbeats. If it were taken as the order count,
+    each order to a new engine would be refused.
     """
     record = decode_upstream("i-1", RECORD)
     assert (record.host, record.port, record.started_at_ms) == ("10.1.0.9", 8080, 17)
@@ -133,9 +133,8 @@
     ],
 )
 def test_rejects_malformed_upstream_record(change):
-    """Something else writes an entry that is half right. Used all the same, callers
-    would be sent to an address where nobody answers, or the process would fail on it
-    and lose sight of all other upstreams.
+    """Another program writes a partly valid record. If it were used, requests would be
+    sent to an address that does not answer, or decoding would fail for all upstreams.
     """
     with pytest.raises(InvalidUpstreamRecord):
         decode_upstream("i-1", {**RECORD, **change})
@@ -147,8 +146,8 @@
 
 
 def test_changes_continue_from_version_of_store():
-    """A deleted object bears the version of its last change. Watching on from that one
-    would bring the same deletion at once, again and again.
+    """A deleted object has the version of its last change. A watch from that version
+    would return the same deletion immediately, in an endless loop.
     """
     obj = {"metadata": {"name": "x", "revision": 4, "created_revision": 4}}
     events = [{"object": obj, "deleted": True}]
@@ -215,7 +214,7 @@
     ],
 )
 def test_reserved_and_hop_headers_of_caller_are_dropped(name):
-    """A caller names itself another account, or asks for memory that is not its own."""
+    """Guards against callers that claim another account or reserve engine memory."""
     received = {**HEADERS, name: "mine"}
     if name == "x-hop":
         received["connection"] = "close, X-Hop"
--- a/tests/test_store_pushes.py
+++ b/tests/test_store_pushes.py
@@ -1,4 +1,4 @@
-"""Entries that follow another's watch of the store instead of their own."""
+"""Entries that follow another entry's watch of the store instead of their own."""
 
 import threading
 
@@ -26,7 +26,7 @@
 
 
 class Store:
-    """Objects of one kind, with watches; counts the calls of each caller."""
+    """Store with objects of one kind; ``unreachable_from`` names failing clients."""
 
     def __init__(self):
         self.objects, self.events = {}, []
@@ -80,7 +80,7 @@
 
 
 class Entry:
-    """A watcher that pushes to followers."""
+    """A watcher with a relay that pushes to followers."""
 
     def __init__(self, store, name, deliver):
         self.client = store.client(name)
@@ -105,7 +105,7 @@
 
 
 class Pair:
-    """One entry that watches and one that follows it."""
+    """A parent that watches the store and a child that follows the parent."""
 
     def __init__(self):
         self.store = Store()
@@ -136,7 +136,7 @@
             self.parent.relay.flush(["child"])
 
     def wait_until_idle(self):
-        """Wait until the child has made no call for longer than a watch."""
+        """Wait until the child makes no call for longer than a watch takes."""
         calls = -1
         while calls != self.child.client.calls:
             calls = self.child.client.calls
@@ -152,7 +152,7 @@
 
 
 def test_follower_sees_all_changes_without_calls(pair):
-    """Dozens of entries that watch for themselves make most calls to the store."""
+    """Guards against dozens of entries that each watch the store themselves."""
     pair.wait_until_idle()
     calls = pair.child.client.calls
     for number in range(5):
@@ -163,7 +163,7 @@
 
 
 def test_follower_watches_when_pushes_stop(pair):
-    """Guards against engines that leave unseen behind a parent that is cut off."""
+    """Guards against missed draining of engines while the parent is unreachable."""
     pair.wait_until_idle()
     pair.linked = False
     pair.store.put("e9", {})
@@ -181,13 +181,13 @@
     pair.wait_until_idle()
     pair.linked = False
     pair.store.put("e7", {})
-    wait_for(lambda: "e7" in pair.parent.names(), "the parent to see it")
+    wait_for(lambda: "e7" in pair.parent.names(), "the change at the parent")
     pair.linked = True
     wait_for(lambda: "e7" in pair.child.names(), "the change")
 
 
 def test_large_object_is_listed_and_not_pushed(pair):
-    """Pushed, a configuration would go over a small VM's link once a follower."""
+    """Guards against a large configuration sent over a small VM's link per follower."""
     pair.wait_until_idle()
     pair.store.put("big", {"text": "x" * MAX_PUSHED_BYTES})
     wait_for(lambda: "big" in pair.child.names(), "the object")
@@ -195,22 +195,22 @@
 
 
 def test_follower_learns_of_store_failure_of_parent(pair):
-    """Entries that lapse in an outage would be taken for upstreams that are gone."""
+    """Guards against upstreams that count as removed since their records expired."""
     pair.wait_until_idle()
     before = pair.child.failures
     pair.store.unreachable_from.add("parent")
     pair.store.put("e8", {})
     wait_for(lambda: pair.parent.failures, "the parent to lose the store")
     pair.store.unreachable_from.clear()
-    wait_for(lambda: pair.child.failures > before, "the child to hear of it")
+    wait_for(lambda: pair.child.failures > before, "the failure at the child")
 
 
 def test_late_push_does_not_restore_old_object(pair):
-    """A push that was held up comes after what the entry has seen itself."""
+    """Guards against a delayed push that overwrites a newer object."""
     pair.wait_until_idle()
     old = pair.child.watcher.view.objects["e0"]
     pair.store.put("e0", {"n": 1})
-    wait_for(lambda: pair.child.watcher.view.objects["e0"].spec == {"n": 1}, "it")
+    wait_for(lambda: pair.child.watcher.view.objects["e0"].spec == {"n": 1}, "n=1")
     changes = Changes(old.version, (Event(EventType.MODIFIED, old),))
     now = pair.child.watcher.contact_at
     pair.child.watcher.receive(Version(0), changes, now, -1.0, True)
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy some seconds old."""
+"""A store that is restored from a copy some seconds old."""
 
 import time
 
@@ -80,7 +80,7 @@
 
 
 def test_response_of_older_era_is_rejected():
-    """Guards against a slow answer from before that is taken for news."""
+    """Guards against a delayed reply from before a restore that counts as current."""
     received = []
     eras = EraState()
     eras.on_change(received.append)
@@ -90,7 +90,7 @@
 
 
 def test_watch_from_version_of_older_era_expires(world):
-    """Guards against a view that lacks what was changed under the same numbers."""
+    """Guards against a view without changes that reuse revisions seen before."""
     put(world, "old")
     copy = world.state.copy()
     put(world, "lost")
@@ -107,7 +107,7 @@
 
 
 def test_conditional_write_on_reused_revision_conflicts(world):
-    """Guards against a write on a revision that exists again in a newer era."""
+    """Guards against a write that matches a reused revision with other content."""
     copy = world.state.copy()
     put(world, "x", owner="a")
     client = world.client()
@@ -121,7 +121,7 @@
 
 
 def test_objects_missing_in_copy_are_retained_for_rewrite(world, monkeypatch):
-    """Guards against upstreams that live and are dropped all at once."""
+    """Guards against the removal of live upstreams that a copy lacks."""
     monkeypatch.setattr(watcher_module, "REWRITE_DURATION_S", 1.0)
     put(world, "kept")
     copy = world.state.copy()
@@ -138,12 +138,12 @@
     wait_for(lambda: era_of(watch.version) == world.state.era, "the new list")
     assert names() == {"kept", "back", "gone"}
     put(world, "back")
-    wait_for(lambda: names() == {"kept", "back"}, "the end of what is gone")
+    wait_for(lambda: names() == {"kept", "back"}, "the removal of the lost object")
     watch.stop()
 
 
 def test_push_of_older_era_restores_no_object(world):
-    """Guards against a follower that takes lost objects from a parent behind it."""
+    """Guards against lost objects pushed by a parent that missed the restore."""
     put(world, "x")
     views = []
     watch = Watcher(world.client(), Kind.ENTRY, views.append, duration_s=0.2)
@@ -160,7 +160,7 @@
 
 
 def test_draining_upstream_stays_draining_after_restore():
-    """Guards against calls to an upstream that has said that it leaves."""
+    """Guards against requests to a draining upstream after a restore."""
 
     def view(era, revision, state, started_at_ms):
         spec = {"service": "s", "address": "h:1", "zone": "z1", "slots": 1}
@@ -179,7 +179,7 @@
 
 
 def test_entry_rewrites_its_record_after_restore(world):
-    """Guards against an entry that the others forget since the store lost it."""
+    """Guards against an entry unknown to its peers since the store lost its record."""
     client = world.client()
     registration = Registration(client, Kind.ENTRY, "e1")
     world.eras[-1].on_change(lambda _era: registration.rewrite())
@@ -194,7 +194,7 @@
 
 
 class LeaseKeepers:
-    """Two processes that seek the lease of orders."""
+    """Two processes that compete for the orders lease."""
 
     def __init__(self, world):
         self.clock = Clock()
@@ -210,7 +210,7 @@
         return keeper
 
     def pass_lease_from_b_to_a(self):
-        """Let B hold the lease, then A; return a copy in which B has it."""
+        """Give the lease to B, then to A; return a copy of the store with B's lease."""
         self.b.step()
         copy = self.state.copy()
         self.b.release()
@@ -220,7 +220,7 @@
 
 
 def test_leader_takes_lease_again_above_its_last_epoch(world):
-    """Guards against orders under a number that engines have seen from another."""
+    """Guards against two leaders that give orders with the same epoch."""
     keepers = LeaseKeepers(world)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
@@ -231,7 +231,7 @@
 
 
 def test_previous_leader_named_by_copy_waits(world):
-    """Guards against orders of two holders, one of them by a copy of the store."""
+    """Guards against orders of two leaders, one of them named by a restored copy."""
     keepers = LeaseKeepers(world)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
@@ -240,7 +240,7 @@
     keepers.clock.now += DURATION / 2
     keepers.b.step()
     assert keepers.b.epoch() is None
-    # The first step only meets the new era.
+    # The first step only detects the new era.
     keepers.a.step()
     keepers.a.step()
     assert keepers.a.epoch() > 2
@@ -250,7 +250,7 @@
 
 
 def test_lease_missing_in_copy_belongs_to_last_leader(world):
-    """Guards against a new holder beside one that has not heard of the restore."""
+    """Guards against a second leader while the first has not detected the restore."""
     keepers = LeaseKeepers(world)
     empty = keepers.state.copy()
     keepers.a.step()
@@ -264,7 +264,7 @@
 
 
 def test_lease_is_taken_after_old_leader_expired(world):
-    """Guards against a fleet without orders after its holder died in an outage."""
+    """Guards against a fleet without a leader after one crashed in an outage."""
     keepers = LeaseKeepers(world)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
@@ -276,7 +276,7 @@
 
 
 def test_leader_that_released_its_new_lease_does_not_retake_it(world):
-    """Guards against a holder that resigns and takes the lease back from the next."""
+    """Guards against a leader that takes a released lease back from its successor."""
     keepers = LeaseKeepers(world)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
@@ -292,7 +292,7 @@
 
 
 def test_new_process_takes_lease_above_epochs_lost_in_copy(world):
-    """Guards against orders under a number that engines have seen from another."""
+    """Guards against two leaders that give orders with the same epoch."""
     keepers = LeaseKeepers(world)
     keepers.a.step()
     copy = keepers.state.copy()
@@ -306,7 +306,7 @@
 
 
 def test_first_restore_is_detected_after_era_zero():
-    """Guards against a restore taken for the first era that is seen."""
+    """Guards against a restore that counts as the first observed era."""
     received = []
     eras = EraState()
     eras.on_change(received.append)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Every verdict handed out, held against what the ledger really ran."""
+"""Verdicts sent to callers, compared with the requests that the ledger ran."""
 
 import random
 import signal
@@ -12,12 +12,12 @@
 MIN_CALLS = 12
 MAX_CALLS = 60
 MIN_RUNS = 6
-"""Calls that ran, without which the test would say little."""
+"""Successful bookings required for a meaningful result."""
 SLOTS = "/v1/services/ledger/slots"
 
 
 def book_repeatedly(fleet, number, seen):
-    """Book over and over through both entries and note what was answered."""
+    """Book repeatedly through both entries and record each verdict in ``seen``."""
     rng = random.Random(SEED + number)
     for i in range(MAX_CALLS):
         if i >= MIN_CALLS and sum(verdict == "ran" for _, verdict in seen) > MIN_RUNS:
@@ -37,7 +37,7 @@
 
 
 def inject_faults(fleet, done):
-    """Kill, freeze and restart the ledger's sidecar until all callers are done."""
+    """Kill, freeze and restart the ledger's sidecar until ``done`` is set."""
     rng = random.Random(SEED)
     while not done.is_set():
         sidecar = fleet.processes["sidecar-s1"]
@@ -60,9 +60,9 @@
 
 
 def test_verdicts_match_runs_of_service(tmp_path):
-    """The ledger's sidecar is killed, frozen and replaced while six desks book. A
-    desk that hears not_run books again, so a single false one doubles a booking; one
-    that hears a confirmation sends the barge, so it must have been made.
+    """The ledger's sidecar is killed, frozen and replaced while six callers book. A
+    caller repeats a booking after not_run, so a single false not_run books twice. A
+    caller relies on a confirmation, so each confirmed booking must have run.
     """
     with Fleet(tmp_path) as fleet:
         start_fleet(fleet, service_delay=0.05)
