--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a small fleet of real processes on loopback, for the demo and the tests."""
+"""Small fleet of real processes on loopback, for the demo and the tests."""
 
 import json
 import os
@@ -25,6 +25,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 SECRET = "demo-secret"
 MAX_START_S = 20.0
+"""Default limit of ``wait_for``."""
 MAX_STOP_S = 15.0
 
 ACCOUNTS = """
@@ -62,14 +63,14 @@
 
 
 def wait_for(condition: Callable[[], object], name: str, timeout: float = MAX_START_S):
-    """Return the first true value of ``condition``, or raise after the limit."""
+    """Return the first true value of ``condition``; raise after ``timeout`` seconds."""
     end = time.monotonic() + timeout
     while time.monotonic() < end:
         value = condition()
         if value:
             return value
         time.sleep(0.02)
-    raise TimeoutError(f"{name} did not come about in {timeout:g} s")
+    raise TimeoutError(f"timed out after {timeout:g} s waiting for {name}")
 
 
 @dataclass
@@ -80,14 +81,14 @@
     popen: subprocess.Popen
     log: Path
     log_offset: int
-    """Where its output begins in the log, after that of earlier processes."""
+    """Offset of its output in the log, after that of earlier processes."""
 
     def ports(self) -> dict[str, int]:
         """Return the ports that the process printed."""
 
         def listening_line() -> str:
             if self.popen.poll() is not None:
-                raise RuntimeError(f"{self.name} ended:\n{self.log.read_text()}")
+                raise RuntimeError(f"{self.name} exited:\n{self.log.read_text()}")
             lines = self.log.read_text()[self.log_offset :].split("\n")[:-1]
             return next((ln for ln in lines if ln.startswith("listening ")), "")
 
@@ -99,19 +100,19 @@
         self.popen.send_signal(signum)
 
     def kill(self) -> None:
-        """End it without notice."""
+        """Kill the process and reap it."""
         self.popen.kill()
         self.popen.wait()
 
     def stop(self, timeout: float = MAX_STOP_S) -> int:
-        """End it gracefully; return its exit code."""
+        """Stop the process with SIGTERM; return its exit code."""
         self.signal(signal.SIGTERM)
         return self.popen.wait(timeout)
 
 
 @dataclass
 class Reply:
-    """An answer as a caller sees it."""
+    """An answer to a caller."""
 
     status: int
     headers: urllib3.HTTPHeaderDict
@@ -124,7 +125,7 @@
 
 @dataclass
 class Fleet:
-    """Processes with their settings and logs in one folder."""
+    """Processes of one fleet; their settings and logs share a directory."""
 
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp()))
     processes: dict[str, Process] = field(default_factory=dict)
@@ -156,11 +157,11 @@
         return process
 
     def standin(self, name: str, kind: str, *args: str) -> Process:
-        """Start a stand-in; its address is known once ``addresses`` has run."""
+        """Start a stand-in; ``record_urls`` reads the port that it prints."""
         return self.spawn(name, "standin", kind, *args)
 
     def record_urls(self, port: str, *names: str) -> None:
-        """Note where processes listen, as they print it."""
+        """Record the URLs of processes from the ports that they print."""
         for name in names:
             number = self.processes[name].ports()[port]
             self.urls[name] = f"http://127.0.0.1:{number}"
@@ -172,7 +173,7 @@
         return str(path)
 
     def sidecar(self, name: str, upstream: str, kind: str, service: str = "", **extra):
-        """Start the sidecar of an upstream."""
+        """Start the sidecar of an upstream; ``extra`` adds [upstream] settings."""
         lines = "\n".join(f"{key} = {value}" for key, value in extra.items())
         path = self.settings(
             f"sidecar-{name}",
@@ -187,7 +188,7 @@
     def entry(
         self, name: str, stop_notice: float = 0.2, store: str = "store", seeds: str = ""
     ) -> Process:
-        """Start an entry; ``store`` names the address by which it gets there."""
+        """Start an entry; ``store`` is the key in ``urls`` of its store address."""
         path = self.settings(
             name,
             f"[vm]\nname = {name}\nzone = z1\nregion = r1\n"
@@ -212,20 +213,20 @@
         return self.spawn(name, "planner", f"--settings={path}")
 
     def store(self) -> StoreClient:
-        """Return a client of the fleet's object API."""
+        """Return a client of the object store."""
         return StoreClient(self.urls["store"], 2.0)
 
     def set_faults(self, **values: object) -> None:
-        """Set the faults of the store's stand-in; none are left without values."""
+        """Set the faults of the store stand-in; clear all others."""
         self.http.request("POST", self.urls["store"] + "/faults", json=values)
 
     def runs(self, service: str) -> list[int]:
-        """Return how often the service ran each request id that it saw."""
+        """Return how often the service ran each request id."""
         answer = self.http.request("GET", self.urls[service] + "/_runs")
         return list(answer.json()["runs"].values())
 
     def ctl(self, operator: str, *args: str) -> subprocess.Popen:
-        """Start the operators' command line."""
+        """Start a command of persimmonhitch-ctl."""
         text = f"[store]\nurl = {self.urls['store']}\n[operator]\nname = {operator}\n"
         path = self.settings(f"ctl-{operator}", text)
         env = {**os.environ, "PYTHONPATH": str(ROOT / "src")}
@@ -238,18 +239,18 @@
         )
 
     def commit(self, edit: Callable[[Catalog], Delta]) -> Catalog:
-        """Commit what ``edit`` makes of the configuration in force."""
+        """Apply ``edit`` to the current configuration and commit the result."""
         store = self.store()
         catalog = read_head(store).unwrap().catalog
         return ChangeWriter(store, "fleet").commit(catalog, edit(catalog)).unwrap()
 
     def apply_lists(self, accounts: str = ACCOUNTS, plans: str = PLANS) -> None:
-        """Put the two lists in force."""
+        """Commit the two lists as the configuration."""
         lists = parse_lists(accounts, plans).unwrap()
         self.commit(lambda catalog: diff_lists(catalog, lists))
 
     def issue_key(self, account: str) -> str:
-        """Issue a key."""
+        """Issue a key for an account."""
 
         def edit(catalog: Catalog) -> Delta:
             self.keys[account], delta = keys.issue(catalog, Account(account)).unwrap()
@@ -273,7 +274,7 @@
         return Reply(answer.status, answer.headers, answer.data)
 
     def chat(self, entry: str, account: str, text: str, max_tokens: int = 4, **body):
-        """Send a chat call; return its answer."""
+        """Send a chat request; return its answer."""
         headers = body.pop("headers", {})
         content = {
             "model": "tiny-chat",
@@ -291,7 +292,7 @@
         )
 
     def wait_ready(self, entry: str, upstreams: int) -> None:
-        """Wait until an entry is ready and linked to its sidecars."""
+        """Wait until an entry is ready and linked to ``upstreams`` sidecars."""
         log = self.processes[entry].log
 
         def linked() -> bool:
@@ -302,16 +303,16 @@
         wait_for(lambda: self.http.request("GET", url).status == 200, f"{entry} ready")
 
     def wait_shared(self, account: str, entries: int) -> None:
-        """Wait until so many entries hold a share of an account."""
+        """Wait until ``entries`` entries have a share of an account."""
 
         def spread() -> bool:
             share = self.store().get(Kind.SHARE, account)
             return len(share.unwrap().spec["parts"]) >= entries
 
-        wait_for(spread, f"{entries} holders of {account}")
+        wait_for(spread, f"{entries} shares of {account}")
 
     def stop_all(self) -> list[str]:
-        """Stop every process; return the names of those that had to be killed."""
+        """Stop every process; return the names of those killed after ``MAX_STOP_S``."""
         killed = []
         running = [p for p in self.processes.values() if p.popen.poll() is None]
         for process in running:
@@ -327,7 +328,7 @@
 
 
 def start_fleet(fleet: Fleet, service_delay: float = 0.0) -> None:
-    """Start stand-ins, three sidecars and two entries, and wait until they serve."""
+    """Start stand-ins, three sidecars and two entries; wait until both are ready."""
     fleet.standin("store", "store")
     fleet.standin("engine-1", "engine", "--models=tiny-chat:10:r1")
     fleet.standin("engine-2", "engine", "--models=tiny-chat:10:r1")
--- a/scripts/hop_cost.py
+++ b/scripts/hop_cost.py
@@ -1,7 +1,7 @@
-"""Time that entry and sidecar add to a stream, against calling engines directly.
+"""Measure the latency that entry and sidecar add to a stream.
 
-Both ways are played in turn in one run, with the same stand-ins, so that the
-figures can be compared.
+Requests go to the engines directly, then through an entry, in one run with the same
+stand-ins, so that the figures are comparable.
 
 Usage: hop_cost.py [STREAMS,... [TOKENS]]
 """
@@ -20,19 +20,19 @@
 
 ENGINES = 6
 STEP_S = 0.0165
-"""Seconds; with ten streams an engine the stand-in then takes 24 ms a token."""
+"""Seconds a step; with ten streams an engine the stand-in takes 24 ms a token."""
 TOKENS = 400
 ROUNDS = 2
 TOKEN_INTERVAL_S = 0.024
-"""Seconds for a token; streams start over the time that one takes, so that requests
-come evenly: with 400 tokens, as many a second as an entry gets at the full size."""
+"""Seconds a token. Streams start spread over the duration of one stream, so that
+requests arrive evenly: with 400 tokens, at the rate of an entry at full size."""
 STREAM_COUNTS = (60,)
 TIMEOUT_S = 120.0
 
 
 @dataclass
 class Timing:
-    """Seconds to the first token and between tokens."""
+    """Seconds to the first token and between tokens; number of broken streams."""
 
     first: list[float] = field(default_factory=list)
     gaps: list[float] = field(default_factory=list)
@@ -42,7 +42,7 @@
 def stream(
     url: str, headers: dict[str, str], prompt: str, tokens: int, timing: Timing
 ) -> None:
-    """Run one stream and note the time of each token."""
+    """Run one stream and record the time of each token."""
     address = urlsplit(url)
     conn = HTTPConnection(address.hostname, address.port, timeout=TIMEOUT_S)
     messages = [{"role": "user", "content": prompt}]
@@ -67,7 +67,7 @@
 def run_streams(
     urls: Sequence[str], headers: dict[str, str], streams: int, tokens: int
 ) -> Timing:
-    """Run so many streams at once, a few times over."""
+    """Run ``streams`` concurrent streams, ``ROUNDS`` times each."""
     timing = Timing()
 
     def call_repeatedly(number: int) -> None:
@@ -103,7 +103,7 @@
 
 
 def show(path: str, streams: int, timing: Timing, seconds: float, core: float) -> None:
-    """Print one row."""
+    """Print one row of the table."""
     first, gaps = timing.first, timing.gaps
     rate = (len(first) + len(gaps)) / seconds
     cells = (pctl(first, 0.5), pctl(first, 0.95), pctl(gaps, 0.5), pctl(gaps, 0.95))
@@ -113,7 +113,7 @@
 
 
 def main(args: list[str]) -> int:
-    """Measure each size; return 0 when every stream was whole."""
+    """Measure each number of streams; return 0 if every stream was complete."""
     counts = tuple(int(part) for part in args[0].split(",")) if args else STREAM_COUNTS
     tokens = int(args[1]) if len(args) > 1 else TOKENS
     fleet, broken = Fleet(), 0
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,4 +1,4 @@
-"""Read KNOWN-RED.txt: tests that fail for a real fault not yet mended."""
+"""Read KNOWN-RED.txt, the list of tests that fail because of an open bug."""
 
 import sys
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 
 def known_red() -> list[str]:
-    """Return the listed lines, without blank ones and comments."""
+    """Return the entries of the list, without blank lines and comments."""
     if not LIST_FILE.exists():
         return []
     lines = LIST_FILE.read_text(encoding="utf-8").splitlines()
@@ -16,7 +16,7 @@
 
 
 def main(args: list[str]) -> int:
-    """Print the list, or with ``--names`` only the names of the tests."""
+    """Print the list, or only the test names with ``--names``."""
     lines = known_red()
     if len(lines) > MAX_ENTRIES:
         print(f"KNOWN-RED.txt has {len(lines)} lines; {MAX_ENTRIES} at most")
--- a/scripts/measure_config.py
+++ b/scripts/measure_config.py
@@ -1,14 +1,15 @@
-"""Measure how long a change takes until it is in force on every entry.
+"""Measure the time until a configuration change is in force on every entry.
 
 Usage:
   measure_config.py [--entries=N] [--changes=N] [--idle=S] [--cut=N]
 
 Options:
-  --entries=N  Entries, each a process of its own [default: 12].
+  --entries=N  Entry processes [default: 12].
   --changes=N  Changes, half a second apart [default: 20].
-  --idle=S     Seconds without changes in which calls are counted [default: 20].
-  --cut=N      Cut the N entries that watch first from the store, just before the
-               first change [default: 0].
+  --idle=S     Seconds without changes in which store calls are counted
+               [default: 20].
+  --cut=N      Disconnect the N entries ranked first as watchers from the store before
+               the first change [default: 0].
 """
 
 import os
@@ -31,13 +32,13 @@
 
 
 def times(log: Path) -> dict[int, float]:
-    """Return when each version came into force, from an entry's log."""
+    """Return the time at which each version came into force, from an entry's log."""
     matches = IN_FORCE_LINE.findall(log.read_text())
     return {int(v): datetime.fromisoformat(ts).timestamp() for ts, v in matches}
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the seconds of processor time that a process has used."""
+    """Return the CPU time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
@@ -66,7 +67,7 @@
 
 
 def measure_delays(fleet: Fleet, names: list[str], changes: int) -> list[float]:
-    """Return for each change the seconds until the last entry had it."""
+    """Return for each change the seconds until it was in force on all entries."""
     committed = {}
     for index in range(changes):
         fleet.issue_key(("fretes", "chapters")[index % 2])
@@ -79,12 +80,12 @@
 
 
 def store_calls(fleet: Fleet) -> dict[str, int]:
-    """Return how often each call of the store was made."""
+    """Return the number of store calls by operation."""
     return fleet.http.request("GET", fleet.urls["store"] + "/calls").json()
 
 
 def main() -> int:
-    """Print the figures."""
+    """Run the measurement and print the figures."""
     args = docopt(__doc__)
     names = [f"entry-{n}" for n in range(int(args["--entries"]))]
     with Fleet() as fleet:
@@ -104,8 +105,8 @@
         shown = ", ".join(f"{call} {rate:.2f}" for call, rate in rates.items())
         print(f"store calls a second without changes: {shown}")
         print(
-            f"processor of an entry, whole process: mean {statistics.mean(shares):.4f}"
-            f", most {max(shares):.4f} of a core"
+            f"CPU of an entry, whole process: mean {statistics.mean(shares):.4f}"
+            f", max {max(shares):.4f} of a core"
         )
     return 0
 
--- a/scripts/path_cost.py
+++ b/scripts/path_cost.py
@@ -1,7 +1,7 @@
-"""Processor time and memory of entry and sidecar for each request and token.
+"""Measure CPU time and memory of entry and sidecar by request and token.
 
-Starts stand-ins, one entry and one sidecar, sends a bounded number of requests
-at each size and reads what the two processes spent.
+Starts stand-ins, one entry and one sidecar, sends a fixed number of requests of each
+size and reads the CPU time and memory that the two processes used.
 
 Usage: path_cost.py [TOKENS,...]
 """
@@ -27,7 +27,7 @@
 
 
 def cpu_seconds(fleet: Fleet, name: str) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the CPU time of a process."""
     stat = Path(f"/proc/{fleet.processes[name].popen.pid}/stat").read_text()
     fields = stat.rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
@@ -40,7 +40,7 @@
 
 
 def start(fleet: Fleet) -> None:
-    """Start what the measurement needs and wait until it serves."""
+    """Start the processes and wait until the entry is ready."""
     fleet.standin("store", "store")
     options = ("--models=tiny-chat:10:r1", "--step=0.001")
     fleet.standin("engine-1", "engine", *options)
@@ -55,7 +55,7 @@
 
 
 def unlimited_lists() -> tuple[str, str]:
-    """Return lists whose one account is never short of tokens."""
+    """Return lists with one account whose rate is practically unlimited."""
     accounts = "[account fretes]\nplan = desk\n"
     plans = (
         "[plan desk]\nrate = 10000000\nburst = 10000000\nweight = 1\n"
@@ -66,7 +66,7 @@
 
 
 def measure(fleet: Fleet, tokens: int) -> Reading:
-    """Send the requests of one size and read what was spent."""
+    """Send the requests of one size and read the cost."""
 
     def call(number: int) -> bool:
         prompt = f"slot {number}"
@@ -93,7 +93,7 @@
 
 
 def print_idle(fleet: Fleet) -> None:
-    """Print what the processes spend and hold with nothing to do."""
+    """Print CPU use and memory of the idle processes."""
     before = {name: cpu_seconds(fleet, name) for name in PROCESSES}
     time.sleep(IDLE_S)
     for name in PROCESSES:
@@ -102,7 +102,7 @@
 
 
 def main(args: list[str]) -> int:
-    """Measure each size; return 0 when every answer was right."""
+    """Measure each size; return 0 if every answer was complete."""
     counts = tuple(int(part) for part in args[0].split(",")) if args else TOKEN_COUNTS
     fleet = Fleet()
     try:
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -1,10 +1,10 @@
-"""Show that each proof fails without its mechanism.
+"""Run mutation tests: each test must fail without the mechanism that it covers.
 
 Usage:
   prove [POINT ...]
 
-Each mutation of ``tests/mutations*.toml`` takes one mechanism out of a copy of the
-tree and runs the test that proves it there; that test has to fail.
+Each mutation of ``tests/mutations*.toml`` disables one mechanism in a copy of the tree
+and runs the test that covers it there; the test must fail.
 """
 
 import os
@@ -21,12 +21,12 @@
 
 
 def apply_edits(tree: Path, edits: list[dict[str, str]]) -> None:
-    """Make the edits; each must match exactly once, or it proves nothing."""
+    """Apply the edits; each pattern must match exactly once."""
     for edit in edits:
         path = tree / "src" / "persimmonhitch" / edit["file"]
         text = path.read_text()
         if text.count(edit["old"]) != 1:
-            raise SystemExit(f"{edit['file']}: {edit['old']!r} does not stand once")
+            raise SystemExit(f"{edit['file']}: {edit['old']!r} must match exactly once")
         path.write_text(text.replace(edit["old"], edit["new"]))
 
 
@@ -41,7 +41,7 @@
 
 
 def run_case(case: dict) -> str:
-    """Return the line that tells how a mutation went."""
+    """Run one mutation; return its result as a line."""
     with tempfile.TemporaryDirectory() as folder:
         tree = Path(folder)
         for name in COPIED_PATHS:
@@ -57,7 +57,7 @@
 
 
 def main(points: list[str]) -> int:
-    """Run all mutations, or those of the points named; return 1 if one passes."""
+    """Run all mutations, or those of the given points; return 1 if a test passes."""
     files = sorted((ROOT / "tests").glob("mutations*.toml"))
     cases = [case for f in files for case in tomllib.loads(f.read_text())["case"]]
     lines = []
--- a/scripts/relay.py
+++ b/scripts/relay.py
@@ -1,4 +1,4 @@
-"""A relay of TCP connections that a test can cut, hold up, silence and reset."""
+"""TCP relay for fault injection: cut, stall, delay, mute or reset connections."""
 
 import contextlib
 import socket
@@ -10,16 +10,17 @@
 from typing import Final
 
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
-"""Linger of no time: a close then resets the connection."""
+"""Linger time of zero, so that a close resets the connection."""
 BLOCK_BYTES: Final = 65536
 
 
 class Direction(Enum):
-    """Direction in which bytes pass."""
+    """Direction of bytes through the relay."""
 
     IN = "in"
-    """From whoever connects to the target."""
+    """From the client to the target."""
     OUT = "out"
+    """From the target to the client."""
 
 
 @dataclass(eq=False)
@@ -28,23 +29,23 @@
     server: socket.socket
     muted: threading.Event = field(default_factory=threading.Event)
     closed_directions: int = 0
-    """Ways on which no more bytes come."""
+    """Number of directions that have reached their end of stream."""
 
     def reset(self) -> None:
         for sock in (self.client, self.server):
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             with contextlib.suppress(OSError):
-                # A close alone would not wake the thread that waits in a read.
+                # close() does not wake a thread blocked in recv().
                 sock.shutdown(socket.SHUT_RD)
             sock.close()
 
 
 class Relay:
-    """Passes connections on to a port, as far as its faults let them.
+    """Forwards connections to a port, subject to injected faults.
 
-    ``delay`` is seconds before each block of bytes. Bytes of a stalled way are held
-    back and pass when it is free again; those of a muted connection never pass.
+    ``delay`` is the seconds before each block of bytes. A stalled direction buffers its
+    bytes until ``resume``; a muted connection discards them.
     """
 
     def __init__(self, port: int, host: str = "127.0.0.1") -> None:
@@ -59,7 +60,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def set_cut(self, cut: bool) -> None:
-        """Cut the way, with what is open on it, or mend it."""
+        """Close all connections and refuse new ones, or accept them again."""
         self.cut = cut
         for pair in list(self._pairs) if cut else ():
             for sock in (pair.client, pair.server):
@@ -67,18 +68,18 @@
                     sock.shutdown(socket.SHUT_RDWR)
 
     def stall(self, *directions: Direction) -> None:
-        """Hold back the bytes of some ways, of new connections too."""
+        """Stall the given directions, or both, of current and new connections."""
         for direction in directions or Direction:
             self._flowing[direction].clear()
 
     def resume(self) -> None:
-        """Let bytes pass again, without delay."""
+        """Clear all stalls and the delay."""
         self.delay = 0.0
         for event in self._flowing.values():
             event.set()
 
     def mute(self) -> None:
-        """Let open connections go silent for good; new ones work."""
+        """Discard all further bytes of open connections; new ones are unaffected."""
         for pair in list(self._pairs):
             pair.muted.set()
 
@@ -88,10 +89,10 @@
             pair.reset()
 
     def close(self) -> None:
-        """Cut all and listen no more."""
+        """Close all connections and the listener."""
         self.set_cut(True)
         with contextlib.suppress(OSError):
-            # A close alone leaves the port open while a thread waits in accept.
+            # close() leaves the port open while a thread is blocked in accept().
             self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
@@ -110,7 +111,7 @@
         try:
             server = socket.create_connection(self.target)
         except OSError:
-            # As if the caller had met the closed port itself.
+            # Reset the client as the closed port of the target would.
             _Pair(client, client).reset()
             return
         for sock in (client, server):
--- a/scripts/settings_tables.py
+++ b/scripts/settings_tables.py
@@ -1,4 +1,4 @@
-"""Tables of settings and metrics in docs/OPERATIONS.md, from the code.
+"""Generate the tables of settings and metrics in docs/OPERATIONS.md.
 
 Usage: settings_tables.py [--check]
 
@@ -31,7 +31,7 @@
 
 
 def settings_table(program: str) -> str:
-    """Return the table of one program's settings."""
+    """Return the table of settings of one program."""
     module = import_module(f"persimmonhitch.{program}.settings")
     return table(getattr(module, f"{program.capitalize()}Settings"))
 
@@ -46,7 +46,7 @@
 
 
 def table_renderers() -> dict[str, Callable[[], str]]:
-    """Return what makes each table, by its name in the page."""
+    """Return the function that renders each table, by table name."""
     renderers: dict[str, Callable[[], str]] = {"metrics": metrics_table}
     for program in programs():
         renderers[program] = lambda program=program: settings_table(program)
@@ -54,13 +54,13 @@
 
 
 def regenerate(page: str) -> str:
-    """Return the page with every table made anew."""
+    """Return the page with every table regenerated."""
     renderers = table_renderers()
     return BLOCK.sub(lambda m: f"{m[1]}{renderers[m[2]]()}\n{m[3]}", page)
 
 
 def main(args: list[str]) -> int:
-    """Write the page, or compare it."""
+    """Write the page, or with ``--check`` return 1 if it is out of date."""
     old = PAGE.read_text(encoding="utf-8")
     new = regenerate(old)
     if "--check" in args:
--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -1,4 +1,4 @@
-"""An engine in memory that takes orders as the platform's interface says."""
+"""In-memory engine that executes orders as the platform interface specifies."""
 
 from returns.result import Failure as Err
 from returns.result import Success
@@ -17,7 +17,7 @@
 
 
 class Clock:
-    """A clock that tests move; ``sleep`` moves it too."""
+    """Manual clock; ``sleep`` advances it."""
 
     def __init__(self):
         self.now = 100.0
@@ -30,7 +30,7 @@
 
 
 class FakeEngine:
-    """Holds models and adapters; notes when it is ordered beyond its room."""
+    """Engine with resident models; records orders that exceed its capacity."""
 
     def __init__(self, clock, models=("big",), adapters=(), lag=0.0):
         self.clock = clock
@@ -43,10 +43,10 @@
         self.over_capacity = []
         self.log = []
         self.in_use = set()
-        """Adapters that calls use: their unload waits for these to end."""
+        """Models and adapters of running requests, which their unload waits for."""
         self.unloading_adapters = set()
         self.unloading = set()
-        """Models whose unload waits for the calls that use them."""
+        """Models whose unload waits for running requests."""
         self.lose_answers = 0
         self.load_time = 1.7
         self.on_disk = set()
@@ -139,14 +139,14 @@
 
 
 class UnreachableEngine(FakeEngine):
-    """Answers nothing."""
+    """Engine that refuses every status request."""
 
     def get_report(self, _record):
         return Err("refused")
 
 
 def controller_of(engine, clock, in_use=lambda *_: False, epoch=lambda: Epoch(1)):
-    """Return a desk for an engine, and what it published."""
+    """Return a controller for an engine, and the inventories that it publishes."""
     published = []
     controller = EngineController(
         EngineState(engine.record, SPEC),
--- a/tests/golden_session.py
+++ b/tests/golden_session.py
@@ -1,4 +1,4 @@
-"""Golden files: what callers and operators saw in a whole session, line by line."""
+"""Golden files: the observations of callers and operators in a session."""
 
 import os
 from pathlib import Path
@@ -7,10 +7,9 @@
 
 
 class Session:
-    """Notes the steps of a session and holds them against its golden file.
+    """Records the steps of a session and compares them with its golden file.
 
-    With ``UPDATE_GOLDEN=1`` the file is written anew; its change is then read in
-    review like any other.
+    ``UPDATE_GOLDEN=1`` rewrites the file; the diff then goes through code review.
     """
 
     def __init__(self, name: str) -> None:
@@ -22,7 +21,7 @@
         self._lines.append(" ".join(str(word) for word in words))
 
     def add_reply(self, step: str, reply) -> None:
-        """Add what a caller got: status, and code and verdict of an error."""
+        """Add a reply: its status, and the code and verdict of an error."""
         error = reply.json().get("error") if reply.body.startswith(b"{") else None
         if error is None:
             self.add(f"{step}:", reply.status)
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: real entries as processes, faults from outside them."""
+"""Randomized soak test: real entry processes under faults injected from outside."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,22 +1,22 @@
-"""Randomized soak of entries on the platform.
+"""Run a randomized soak test of entries on a simulated platform.
 
 Usage:
   soak [--seeds=A-B] [--seconds=S] [--gap=S] [--entries=N] [--engines=N]
        [--ledgers=N] [--callers=N] [--jobs=N] [--keep=DIR]
   soak --help
 
-Each seed is played by a process of its own, so that none inherits what another left.
+Each seed runs in its own process, so that no seed inherits state of another.
 
 Options:
-  --seeds=A-B    Seeds; one number plays one, in this process [default: 1].
-  --jobs=N       Seeds played at the same time [default: 1].
-  --seconds=S    Seconds of faults, before recovery is looked at [default: 15].
-  --gap=S        Mean seconds between the beginnings of two faults [default: 0.8].
+  --seeds=A-B    Range of seeds; a single number runs in this process [default: 1].
+  --jobs=N       Seeds run in parallel [default: 1].
+  --seconds=S    Seconds of faults before recovery is checked [default: 15].
+  --gap=S        Mean seconds between the starts of two faults [default: 0.8].
   --entries=N    Entry processes [default: 3].
   --engines=N    Engines [default: 4].
-  --ledgers=N    Plain upstreams [default: 3].
+  --ledgers=N    Upstreams without models [default: 3].
   --callers=N    Callers [default: 12].
-  --keep=DIR     Where logs of seeds that failed are kept [default: target/soak].
+  --keep=DIR     Directory for the logs of failed seeds [default: target/soak].
 """
 
 import subprocess
@@ -29,11 +29,11 @@
 from soak.run import Size, soak
 
 MAX_SHOWN = 20
-"""Broken promises of a seed that are printed; the rest is in its folder."""
+"""Failed checks printed for each seed; its directory has the full list."""
 
 
 def run_seed(seed, args):
-    """Play one seed here; return 1 if a promise was broken."""
+    """Run one seed in this process; return 1 if a check failed."""
     size = Size(
         float(args["--seconds"]),
         float(args["--gap"]),
@@ -48,7 +48,7 @@
 
 
 def run_in_subprocess(seed, args):
-    """Play one seed in a process of its own."""
+    """Run one seed in a new process; return its exit code."""
     names = ("seconds", "gap", "entries", "engines", "ledgers", "callers", "keep")
     options = [f"--{name}={args[f'--{name}']}" for name in names]
     command = [sys.executable, "-m", "soak", f"--seeds={seed}", *options]
@@ -58,7 +58,7 @@
 
 
 def main(argv=None):
-    """Play the seeds; return 1 if a promise was broken."""
+    """Run the seeds; return 1 if a check failed."""
     args = docopt(__doc__, argv)
     first, _, last = args["--seeds"].partition("-")
     if not last:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, repeat nothing blindly and note every answer."""
+"""Callers with persistent connections that never retry and record every answer."""
 
 import http.client
 import itertools
@@ -14,20 +14,23 @@
 KIND_WEIGHTS = {"read": 0.25, "book": 0.3, "chat": 0.35, "version": 0.1}
 ACCOUNT_WEIGHTS = {"large": 0.45, "small": 0.4, "plain": 0.15}
 RECONNECT_RATE = 0.15
+"""Share of requests for which a caller opens a new connection."""
 ABANDON_RATE = 0.04
+"""Share of requests that are abandoned before the answer; bookings never are."""
 REVOKED_KEY_RATE = 0.04
 UNKNOWN_KEY = 0.01
 MEAN_PAUSE_S = 0.12
 """Mean seconds between two requests of a caller."""
 EXTRA_WAIT_S = 3.0
-"""Seconds beyond its patience for which a caller still listens, to see what comes."""
+"""Seconds after its timeout for which a caller still reads, to record late answers."""
 PROBE_INTERVAL_S, MISS_LIMIT = 0.3, 2
-REVOKED = "withdrawn"
+"""Seconds between readiness probes, and consecutive failures of an unready entry."""
+REVOKED = "revoked"
 UNKNOWN = "unknown"
 
 
 class Balancer:
-    """Knows which entries take new connections, from asking them."""
+    """Polls the readiness of entries and selects those that accept new connections."""
 
     def __init__(self, entries):
         self._entries = entries
@@ -39,7 +42,7 @@
         self._stopped.set()
 
     def ready_entries(self):
-        """Return the entries in rotation; all of them if there are none."""
+        """Return the ready entries, or all entries if none is ready."""
         ready = [e for e, missed in self._misses.items() if missed < MISS_LIMIT]
         return ready or list(self._entries)
 
@@ -51,7 +54,7 @@
 
 
 class Caller(threading.Thread):
-    """Sends one request after the other."""
+    """Sends requests one at a time."""
 
     _numbers = itertools.count()
 
@@ -81,7 +84,7 @@
         return self._rng.choices(list(weights), list(weights.values()))[0]
 
     def _connect(self, timeout_s):
-        """Keep the open connection, or open one to an entry that takes new ones."""
+        """Reuse the open connection, or select a ready entry for a new one."""
         if self._conn is not None and self._rng.random() >= RECONNECT_RATE:
             return
         self._disconnect()
@@ -98,11 +101,11 @@
             return self._rng.choice(revoked), REVOKED
         if draw > 1 - UNKNOWN_KEY:
             return "nobody's-key", UNKNOWN
-        # The last key of the list is the next to be withdrawn.
+        # The last key of the list is the next one to be revoked.
         return self._rng.choice(self._operator.keys[account][:2]), account
 
     def _choose_request(self):
-        """Return the kind and account of the next call."""
+        """Return the kind and account of the next request."""
         return self._choose(KIND_WEIGHTS), self._choose(ACCOUNT_WEIGHTS)
 
     def _send_request(self):
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold whatever happens, read from what callers and upstreams saw."""
+"""Invariants of a soak run, checked on the records of callers and upstreams."""
 
 import math
 from collections import defaultdict
@@ -8,30 +8,40 @@
 from soak.upstreams import POISON_PREFIX
 
 QUIET_S = 3.0
-"""Seconds without a fault after which an entry has to keep bounds of time."""
+"""Seconds without a fault after which an entry must meet its time limits."""
 MAX_CONFIG_S = 2.0
+"""Seconds within which a committed configuration is in force on an entry."""
 MAX_DRAIN_S = 2.0
+"""Seconds after which an upstream that drains receives no new requests."""
 SLACK_S = 1.0
-"""Seconds for a machine that is shared: processes here get no core of their own."""
+"""Seconds added to time limits: the processes of a run share the cores."""
 CLOSE_RACE_S = 0.2
+"""Seconds in which a request may cross the close of its connection."""
 REGRESSION_SLACK_S = 0.25
+"""Seconds in which requests in flight may still see the previous configuration."""
 RATE_WINDOW_S, RATE_TOLERANCE, RATE_SLACK_TOKENS = 8.0, 1.1, 17_000
+"""Sliding window for token rates; an account may exceed its rate by this factor and
+number of tokens."""
 LIMIT_GRACE_S = 0.5
-"""Seconds after an answer with a limit from which on an entry has to keep it."""
+"""Seconds after an answer with a limit until an entry must respect the limit."""
 LIMIT_WINDOW_S, LIMIT_TOLERANCE, LIMIT_SLACK_REQUESTS = 4.0, 1.5, 5
+"""Sliding window for limits of upstreams; entries together may exceed a limit by this
+factor and number of requests."""
 BLOCKED = "crashes_upstreams"
 MAX_CRASHES, MAX_LATE_RUNS = 3, 3
-"""Upstreams that one call may crash, and its runs later than ``CONTACT`` after that."""
+"""Upstreams that one request may crash, and its runs tolerated more than ``QUIET_S``
+later."""
 REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
 DENIAL_STATUSES = frozenset({400, 401, 403, 404})
 CALLERS_MUTED = "mute callers path"
-"""The fault after which answers on open connections of callers get nowhere."""
+"""Fault that silently drops all further bytes of open caller connections."""
 
 
 class Evidence:
-    """Records with the look-ups that the checks share.
+    """Records of a run, indexed for the checks.
 
-    ``explained`` holds the requests that each entry's log gives a reason for.
+    ``explained`` maps each entry to the request ids whose refusal or failure its log
+    explains.
     """
 
     def __init__(self, records, operator, drained_at, explained):
@@ -48,7 +58,7 @@
             self.spans[span.target].append(span)
 
     def faulted(self, target, begin, end, include_planned=True):
-        """Return whether a fault there overlaps a time."""
+        """Return whether a fault of the target overlaps an interval."""
         return any(
             span.begin <= end and span.end >= begin
             for span in self.spans[target]
@@ -56,13 +66,13 @@
         )
 
     def quiet(self, entry, at):
-        """Return whether neither an entry nor the store was disturbed before."""
+        """Return whether the entry and the store had no fault for ``QUIET_S``."""
         return not any(
             self.faulted(target, at - QUIET_S, at) for target in (entry, "store")
         )
 
     def line(self, call):
-        """Return a call as a line."""
+        """Format a call as one line."""
         runs = [
             f"{run.upstream}@{run.start - self.records.started_at:.2f}"
             for run in self.runs[call.request_id]
@@ -75,7 +85,7 @@
 
 
 def check_all(evidence):
-    """Return a line for each promise that was broken."""
+    """Return one line for each violated invariant."""
     checks = (
         _executed_once,
         _refused_not_executed,
@@ -117,7 +127,7 @@
         if call.status == 200 and call.complete and not call.correct:
             yield evidence.line(call)
         if call.status == 200 and not evidence.runs[call.request_id]:
-            yield f"no upstream ran {evidence.line(call)}"
+            yield f"answered without a run: {evidence.line(call)}"
 
 
 def _accounts_match(evidence):
@@ -135,7 +145,7 @@
 
 
 def _config_bound(evidence, entry, at):
-    """Return the seconds a configuration may take at an entry, None for any."""
+    """Return the seconds until a configuration must be in force; None for no limit."""
     if evidence.quiet(entry, at):
         return MAX_CONFIG_S + SLACK_S
     return None
@@ -150,7 +160,7 @@
                 yield f"denied: {evidence.line(call)}"
         elif call.account == REVOKED and bound is not None and call.kind != "version":
             if _ran_after_revoke(evidence, call, bound):
-                yield f"ran with a withdrawn key: {evidence.line(call)}"
+                yield f"ran with a revoked key: {evidence.line(call)}"
         elif call.kind == "version" and call.account in RATES and bound is not None:
             version = int(call.path.split("/")[1][1:])
             next_at = operator.acknowledged_at.get(version + 1)
@@ -170,9 +180,9 @@
 
 
 def _config_never_regresses(evidence):
-    """Yield uses of an older configuration after a newer one was seen in force.
+    """Yield uses of an older configuration after a newer one was in force.
 
-    Within one life of a process; a restart begins anew.
+    Only within one incarnation of an entry; a restart may begin with an older one.
     """
     newest = {}
     for call in sorted(evidence.records.calls, key=lambda c: c.sent_at):
@@ -220,7 +230,7 @@
 
 
 def _no_answer_cut(evidence):
-    """Yield requests that an entry cut though nothing but planned work went on."""
+    """Yield answers that an entry cut off without an unplanned fault."""
     for call in evidence.records.calls:
         if call.complete or call.gave_up_at is not None:
             continue
@@ -228,7 +238,7 @@
             continue
         runs = evidence.runs[call.request_id]
         if call.ended_at - call.sent_at < CLOSE_RACE_S and not runs:
-            # It met the close of its connection, or a process that had ended.
+            # The request crossed the close of its connection or the exit of the entry.
             continue
         if any(
             run.spoiled
@@ -248,7 +258,7 @@
 
 
 def _muted(evidence, call):
-    """Return whether a call's connection went silent for good before its end."""
+    """Return whether the connection of a call was muted before the call ended."""
     return any(
         span.fault == CALLERS_MUTED and call.opened_at <= span.begin <= call.ended_at
         for span in evidence.spans[call.entry]
@@ -261,15 +271,15 @@
             continue
         for run in evidence.runs[call.request_id]:
             late = run.start - call.gave_up_at > 0.5 + SLACK_S
-            # What was sent in time may come late over a path that was harmed.
+            # A fault on the path may delay a request that was forwarded in time.
             if late and not evidence.faulted(run.upstream, call.sent_at, run.start):
                 yield evidence.line(call)
 
 
 def _refusals_logged(evidence):
-    """Yield requests that an entry refused or failed without a line that says why.
+    """Yield requests that an entry refused or failed without logging the reason.
 
-    A process that is killed takes its last lines along.
+    A killed process may lose its last log lines.
     """
     for call in evidence.records.calls:
         if call.status in (None, 200, 500) or not call.complete:
@@ -283,14 +293,14 @@
 
 
 def _refusals_have_retry_after(evidence):
-    """Yield refusals of what has not run that don't say when to come back."""
+    """Yield refusals of unexecuted requests that lack a Retry-After header."""
     for call in evidence.records.calls:
         if call.status in (429, 503) and call.complete and call.retry_after is None:
             yield evidence.line(call)
 
 
 def _crashes_contained(evidence):
-    """Yield calls that went on crashing upstreams, and others blamed for it."""
+    """Yield requests that kept crashing upstreams, and others that were blocked."""
     runs = defaultdict(list)
     for run in sorted(evidence.records.runs, key=lambda run: run.start):
         if run.body.startswith(POISON_PREFIX):
@@ -310,7 +320,7 @@
 
 
 def _limits_respected(evidence):
-    """Yield limits of upstreams that entries which knew them broke together."""
+    """Yield limits that the entries which had received them exceeded together."""
     for span in evidence.records.limits:
         times = _informed_runs(evidence, span)
         limit = span.rate * LIMIT_WINDOW_S * LIMIT_TOLERANCE + LIMIT_SLACK_REQUESTS
@@ -322,7 +332,10 @@
 
 
 def _informed_runs(evidence, span):
-    """Return when entries in touch that had passed a limit on sent calls there."""
+    """Return the start times of runs from entries that had received the limit.
+
+    Counts only entries without a recent fault.
+    """
     times, seen_at = [], {}
     for run in sorted(evidence.records.runs, key=lambda run: run.start):
         call = evidence.calls.get(run.request_id)
--- a/tests/soak/entries.py
+++ b/tests/soak/entries.py
@@ -1,4 +1,4 @@
-"""Entries as processes, with relays before their callers, their store and links."""
+"""Entry processes, with relays on the paths to callers, the store and peers."""
 
 import os
 import random
@@ -16,32 +16,33 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 START_TIMEOUT_S = 20.0
 STOP_GRACE_S = 8.0
+"""Seconds an entry may take to finish its requests on SIGTERM."""
 REFUSAL_LOG_LINE = re.compile(
     r"event=request_(?:refused|failed) (?:.* )?request=(\S+) .*reason=\S"
 )
 STOP_SLACK_S = 2.0
-"""Seconds beyond the grace period for the end of the process itself."""
+"""Seconds after the grace period for the process to exit."""
 
 
 FIRST_PORT, LAST_PORT = 15_000, 30_000
-"""Below the ports that the system hands out by itself: one of those may go to any
-connection while the entry that is to listen on it starts anew."""
+"""Below the ephemeral port range: an ephemeral port may be assigned to any connection
+while the entry that listens on it restarts."""
 
 
 def free_port():
-    """Return a port that nobody uses now and that nobody is given by chance."""
+    """Return an unused port outside the ephemeral range."""
     while True:
         port = random.SystemRandom().randint(FIRST_PORT, LAST_PORT)
         try:
             with socket.create_server(("127.0.0.1", port)):
                 return port
         except OSError:
-            # Taken; the next draw will be another.
+            # The port is in use.
             continue
 
 
 class Entry:
-    """One entry VM: a process that is started anew whenever it has ended."""
+    """One entry VM: a process that the soak restarts whenever it has exited."""
 
     def __init__(self, name, zone, store_port, folder, records):
         self.name = name
@@ -51,7 +52,8 @@
         self.paused = False
         self.stopping = False
         self.was_ready = False
-        """Whether this process has been ready; before that it may not know signals."""
+        """Whether this process has been ready; its signal handlers may not be installed
+        earlier."""
         self._folder = folder
         ports = {key: free_port() for key in ("callers", "ready", "metrics", "link")}
         self.ready_port = ports["ready"]
@@ -100,20 +102,20 @@
             )
 
     def signal(self, signum):
-        """Send a signal, if the process is there."""
+        """Send a signal to the process if it is running."""
         with self.lock:
             if self.process is not None and self.process.poll() is None:
                 self.process.send_signal(signum)
 
     def kill(self):
-        """End the process without notice."""
+        """Kill the process with SIGKILL."""
         with self.lock:
             if self.process is not None:
                 self.process.kill()
                 self.process.wait()
 
     def stop(self):
-        """Stop the process as planned and judge how it ended."""
+        """Stop the process with SIGTERM and check its exit."""
         process = self.process
         self.stopping = True
         self.signal(signal.SIGTERM)
@@ -124,22 +126,22 @@
             time.sleep(0.05)
         self.stopping = False
         if process.poll() is None:
-            self.records.report_failure(f"stop: {self.name} did not end in its time")
+            self.records.report_failure(f"stop: {self.name} did not exit in time")
             self.kill()
         else:
             self.check_exit(process.returncode)
 
     def check_exit(self, code):
-        """Note an end that nobody asked for."""
+        """Record an unexpected exit code."""
         allowed = {0, -signal.SIGKILL}
         if not self.was_ready:
-            # The signal met the interpreter before the program was loaded.
+            # SIGTERM arrived before the program installed its handler.
             allowed.add(-signal.SIGTERM)
         if code not in allowed:
-            self.records.report_failure(f"life: {self.name} ended with {code}")
+            self.records.report_failure(f"exit: {self.name} exited with {code}")
 
     def pause(self, seconds):
-        """Stop the process for a while, as a VM that is suspended."""
+        """Suspend the process for some seconds, like a suspended VM."""
         self.paused = True
         self.signal(signal.SIGSTOP)
         time.sleep(seconds)
@@ -147,11 +149,11 @@
         self.paused = False
 
     def is_alive(self):
-        """Return whether the process runs."""
+        """Return whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def is_ready(self):
-        """Ask it as the balancer does."""
+        """Query the readiness endpoint as the load balancer does."""
         try:
             with socket.create_connection(("127.0.0.1", self.ready_port), 0.5) as sock:
                 sock.settimeout(0.5)
@@ -163,12 +165,12 @@
         return ready
 
     def explained_requests(self):
-        """Return the requests of which its log says why they were refused or failed."""
+        """Return the ids of requests whose refusal or failure the log explains."""
         text = (self._folder / f"{self.name}.log").read_text(errors="replace")
         return set(REFUSAL_LOG_LINE.findall(text))
 
     def memory_mb(self):
-        """Return the resident memory of the process."""
+        """Return the resident memory of the process in MB."""
         try:
             pages = Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]
         except (OSError, IndexError):
@@ -176,7 +178,7 @@
         return int(pages) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
     def close(self):
-        """End the process and its relays."""
+        """Kill the process and close its relays."""
         self.kill()
         for relay in self.relays.values():
             relay.resume()
--- a/tests/soak/inventory.py
+++ b/tests/soak/inventory.py
@@ -1,17 +1,21 @@
-"""What an engine of the soak holds, and the orders that change it."""
+"""Resident models and adapters of a simulated engine, and orders to change them."""
 
 import time
 
 MIN_LEADER_GAP_S = 3.0
-"""Seconds that must lie between the orders of two holders to one engine."""
+"""Minimum seconds between orders of two different leaders to one engine."""
 LATE_ORDER_S = 0.4
-"""Seconds after a pause of an entry, or a fault of an engine's connections, in which
-orders that were held back arrive."""
+"""Seconds after the pause of an entry, or after a path fault of an engine, in which
+delayed orders may arrive."""
 LOAD_TIME_S, DISK_LOAD_TIME_S = 1.0, 0.3
+"""Load times of a model from the weight store and from disk."""
 
 
 class Inventory:
-    """Models and adapters of one engine; ``in_use`` returns those that calls use."""
+    """Models and adapters of one engine.
+
+    ``in_use`` returns the models and adapters of running requests.
+    """
 
     def __init__(self, spec, records, lock, in_use):
         self.spec = spec
@@ -21,21 +25,21 @@
         self.loading = None
         self.loaded_at = 0.0
         self.unloading = set()
-        """Adapters whose unload waits for the calls that use them."""
+        """Adapters whose unload waits for running requests."""
         self._records = records
         self._lock = lock
         self._in_use = in_use
         self._last_order = None
 
     def is_resident(self, model, adapter=None):
-        """Return whether a call for a model and adapter can run now."""
+        """Return whether the model, and the adapter if given, are resident."""
         with self._lock:
             self._apply_finished()
             adapters = self.models.get(model)
             return adapters is not None and (adapter is None or adapter in adapters)
 
     def published(self):
-        """Return what it holds, as its entry and its report say it."""
+        """Return the inventory as the registration record and the report contain it."""
         with self._lock:
             self._apply_finished()
             models = [
@@ -46,7 +50,7 @@
             return {"models": models, "available": available}
 
     def report(self):
-        """Return what an engine reports of itself."""
+        """Return the status report of the engine."""
         with self._lock:
             self._apply_finished()
             return {
@@ -68,7 +72,7 @@
                 self.unloading.discard((model, adapter))
 
     def check_order(self, order):
-        """Note orders of two holders that come too close to each other."""
+        """Record a failure if two leaders' orders are too close or the epoch falls."""
         now, holder = time.monotonic(), order["holder"]
         token = order["fencing_token"]
         with self._lock:
@@ -78,12 +82,12 @@
         too_close = now - last[0] < MIN_LEADER_GAP_S
         if (token <= last[2] or too_close) and not self._may_be_delayed(holder, now):
             self._records.report_failure(
-                f"one orderer: {self.spec.name} got epoch {token} of {holder} "
+                f"one leader: {self.spec.name} got epoch {token} of {holder} "
                 f"{now - last[0]:.2f} s after epoch {last[2]} of {last[1]}"
             )
 
     def _may_be_delayed(self, entry, now):
-        """Return whether an order may have left long before it arrived."""
+        """Return whether a fault may have delayed the order in transit."""
         return any(
             span.begin <= now <= span.end + LATE_ORDER_S
             for span in self._records.all_spans()
@@ -92,7 +96,7 @@
         )
 
     def execute(self, order):
-        """Carry an order out; return the status of its answer."""
+        """Execute an order; return the HTTP status of its answer."""
         with self._lock:
             self._apply_finished()
             if self.loading is not None:
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that say for a while how few requests they take."""
+"""Upstreams that announce a request rate limit for some seconds."""
 
 import random
 import threading
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 MEAN_GAP_S = 3.0
-"""Mean seconds between two begins."""
+"""Mean seconds between two announcements."""
 DURATION_S = 5.0, 9.0
 RATES_PER_S = (0.5, 1.0, 2.0, 4.0)
 
 
 @dataclass
 class LimitSpan:
-    """An upstream's need; times are monotonic seconds."""
+    """An announced limit in requests a second; times are monotonic seconds."""
 
     upstream: str
     rate: float
@@ -22,9 +22,9 @@
 
 
 class LimitFaults(threading.Thread):
-    """Has upstreams name limits.
+    """Makes upstreams announce limits.
 
-    Its draws are its own, so that the faults of a seed stay as they are.
+    Uses its own random generator, so that the other faults of a seed do not change.
     """
 
     def __init__(self, platform, records, seed):
@@ -52,7 +52,7 @@
         threading.Thread(target=self._lift, args=(upstream, span), daemon=True).start()
 
     def _lift(self, upstream, span):
-        # An upstream that crashes meanwhile has no need any more.
+        # The limit of an upstream ends early if the upstream crashes.
         upstream.closed.wait(span.end - time.monotonic())
         upstream.limit = None
         span.end = time.monotonic()
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: drawn from a seed, in series, overlapping."""
+"""Overlapping faults of a soak run, drawn from its seed."""
 
 import signal
 import threading
@@ -14,7 +14,7 @@
 
 
 class FaultPlan:
-    """Draws faults and carries them out; every one ends by itself or by ``heal``."""
+    """Draws and injects faults; each ends after its duration or on ``end_all``."""
 
     def __init__(self, platform, entries, records, rng, log):
         self._platform = platform
@@ -42,7 +42,7 @@
         }
 
     def run(self, seconds, gap):
-        """Begin faults for a while, one each ``gap`` seconds on average."""
+        """Start faults for some seconds, one every ``gap`` seconds on average."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             draw = self._rng.choices(list(self._faults), list(self._faults.values()))[0]
@@ -54,13 +54,13 @@
             self._ending.wait(self._rng.expovariate(1 / gap))
 
     def end_all(self):
-        """End all faults and wait until what they began is over."""
+        """End all faults and wait for the threads that inject them."""
         self._ending.set()
         for thread in self._threads:
             thread.join()
 
     def _temporary(self, fault, target, seconds, begin, end):
-        """Return a step that has a fault for a while."""
+        """Return a step that injects a fault for some seconds."""
         self._log(f"{fault} at {target} for {seconds:.2f} s")
 
         def step():
@@ -96,7 +96,7 @@
 
     def _rolling_restart(self):
         gap = self._rng.uniform(0.5, 2.0)
-        self._log(f"roll, {gap:.2f} s between")
+        self._log(f"rolling restart, {gap:.2f} s between entries")
 
         def step():
             threads = []
@@ -204,7 +204,7 @@
         if upstream is None:
             return None
         seconds = self._rng.uniform(0.2, 3.0)
-        self._log(f"crash of {upstream.spec.name}, another after {seconds:.2f} s")
+        self._log(f"crash of {upstream.spec.name}, replacement after {seconds:.2f} s")
 
         def step():
             self._records.begin("crash", upstream.spec.name)
@@ -218,10 +218,10 @@
         upstream = self._choose_upstream()
         if upstream is None:
             return None
-        self._log(f"{upstream.spec.name} starts anew under its name")
+        self._log(f"{upstream.spec.name} restarts under its name")
 
         def step():
-            end_span = self._records.begin("reborn", upstream.spec.name)
+            end_span = self._records.begin("restart", upstream.spec.name)
             self._platform.crash(upstream)
             time.sleep(0.1)
             self._replace(upstream, upstream.spec.name)
@@ -233,12 +233,12 @@
         upstream = self._choose_upstream()
         if upstream is None:
             return None
-        self._log(f"{upstream.spec.name} leaves")
+        self._log(f"{upstream.spec.name} drains")
 
         def step():
             self._replace(upstream)
             self._platform.drain(upstream)
-            self._records.begin("gone", upstream.spec.name)
+            self._records.begin("drain", upstream.spec.name)
 
         return step
 
@@ -266,12 +266,12 @@
     # -- operator ----------------------------------------------------------------
 
     def _config_change(self):
-        self._log("configuration")
+        self._log("configuration change")
         return self._platform.operator.publish
 
     def _config_burst(self):
         count, gap = self._rng.randint(4, 10), self._rng.uniform(0.05, 0.3)
-        self._log(f"{count} configurations")
+        self._log(f"{count} configuration changes")
 
         def step():
             for _ in range(count):
@@ -282,5 +282,5 @@
 
     def _revoke_key(self):
         account = self._rng.choice(list(RATES))
-        self._log(f"a key of {account} withdrawn")
+        self._log(f"a key of {account} revoked")
         return lambda: self._platform.operator.revoke(account)
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform around the entries: store, upstreams that enter themselves, operator."""
+"""Simulated platform: store, self-registering upstreams and an operator."""
 
 import threading
 import time
@@ -18,11 +18,11 @@
 ZONES = ("z1", "z2")
 RECORD_TTL_S = 3 * HEARTBEAT_S
 DRAIN_DURATION_S = 2.5
-"""Seconds for which an upstream serves after the store knows that it leaves."""
+"""Seconds for which an upstream serves after the store has recorded its drain."""
 STORE_THREADS = 96
 LEDGER, LLM = "ledger", "llm"
 RATES = {"large": (40_000, 80_000), "small": (2_500, 5_000), "plain": (0, 0)}
-"""Tokens a second, and at once, of each account; the small one asks for more."""
+"""Tokens a second and burst of each account; the small one requests more."""
 KEYS_PER_ACCOUNT = 6
 
 
@@ -32,33 +32,33 @@
 
 
 def engine_spec(name, number):
-    """Return the spec of an engine that holds two models."""
+    """Return the spec of an engine with up to two resident models."""
     first = number % len(MODELS)
     models = (MODELS[first], MODELS[(first + 1) % (len(MODELS) - 1)])
     return UpstreamSpec(name, LLM, ZONES[number % len(ZONES)], 8, tuple(set(models)))
 
 
 class Operator:
-    """Writes configurations; each has a route that only it has."""
+    """Writes configurations, each with one route of its own."""
 
     def __init__(self, state, records):
         self._state = state
         self._records = records
         self.version = 0
         self.acknowledged_at = {}
-        """When the store acknowledged each version."""
+        """Time at which the store acknowledged each version."""
         self.sent_at = {}
-        """When each version was sent to the store."""
+        """Time at which each version was sent to the store."""
         self.keys = {
             account: [f"{account}-key-{n}" for n in range(KEYS_PER_ACCOUNT)]
             for account in RATES
         }
         self.revoked_in = {}
-        """A version that lacks each withdrawn key, acknowledged."""
+        """For each revoked key, an acknowledged version without the key."""
         self._lock = threading.Lock()
 
     def publish(self):
-        """Write the next configuration; return whether the store took it."""
+        """Write the next configuration; return whether the store acknowledged it."""
         with self._lock:
             return self._publish()
 
@@ -68,7 +68,7 @@
         if old is None and result.failure().error is not StoreError.NOT_FOUND:
             return False
         if old is not None and old.spec["version"] > self.version:
-            # It was written, though the answer was lost.
+            # The previous write succeeded but its answer was lost.
             self._acknowledge(old.spec["version"])
         version = self.version + 1
         self.sent_at[version] = time.monotonic()
@@ -82,7 +82,7 @@
         return isinstance(written, Success)
 
     def republish(self):
-        """Write the newest configuration again, if the store has lost it."""
+        """Write the newest configuration again if the store has lost it."""
         with self._lock:
             found = self._state.get(Kind.FLEET, CONFIG_NAME)
             old = found.unwrap() if isinstance(found, Success) else None
@@ -96,7 +96,7 @@
         self.acknowledged_at[version] = time.monotonic()
 
     def revoke(self, account):
-        """Withdraw a key of an account, if it has more than two."""
+        """Revoke a key of an account that has more than two."""
         with self._lock:
             if len(self.keys[account]) <= 2:
                 return
@@ -174,7 +174,7 @@
 
 
 class Platform:
-    """Store, upstreams and operator; the store is reached over HTTP by the entries."""
+    """Store, upstreams and operator; entries access the store over HTTP."""
 
     def __init__(self, records, rng, engines, ledgers):
         self.state = StoreState()
@@ -184,9 +184,9 @@
         self.operator = Operator(self.state, records)
         self.upstreams = {}
         self.on_poison = None
-        """Takes each upstream that runs a call that crashes it."""
+        """Callback with each upstream that runs a poison request."""
         self.drained_at = {}
-        """When the store acknowledged that each upstream leaves."""
+        """Time at which the store acknowledged the drain of each upstream."""
         self._rng = rng
         self._written_at = {}
         self._added = 0
@@ -200,7 +200,7 @@
         threading.Thread(target=self._run_heartbeats, daemon=True).start()
 
     def stop(self):
-        """End everything."""
+        """Stop all upstreams and the store."""
         self._stopped.set()
         for upstream in list(self.upstreams.values()):
             upstream.close()
@@ -218,13 +218,13 @@
         return upstream
 
     def crash(self, upstream):
-        """End an upstream without a word; its entry lapses."""
+        """Stop an upstream abruptly; its registration record expires."""
         with self._lock:
             self.upstreams.pop(upstream.spec.name, None)
         upstream.close()
 
     def restore(self, copy):
-        """Have the store come back from a copy; what only it names lapses."""
+        """Restore the store from a copy; records of stopped upstreams in it expire."""
         now = time.monotonic()
         self.state.restore(copy)
         for kind, name in copy.objects:
@@ -232,7 +232,7 @@
                 self._written_at[name] = now
 
     def drain(self, upstream):
-        """Have an upstream leave as planned."""
+        """Drain an upstream and stop it."""
         upstream.draining = True
         end = time.monotonic() + 20
         while time.monotonic() < end:
@@ -257,7 +257,7 @@
             self._expire_records(now)
 
     def _expire_records(self, now):
-        """Remove the entries of those that have been silent for three heartbeats."""
+        """Remove records of upstreams without a heartbeat for ``RECORD_TTL_S``."""
         for name, at in list(self._written_at.items()):
             if name not in self.upstreams and now - at > RECORD_TTL_S:
                 found = self.state.get(Kind.UPSTREAM, name)
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -1,4 +1,4 @@
-"""Calls that crash each upstream that runs them, sent again and again."""
+"""Poison requests, which crash every upstream that runs them, sent repeatedly."""
 
 import random
 import threading
@@ -8,14 +8,14 @@
 from soak.upstreams import POISON_PREFIX
 
 MEAN_GAP_S = 0.9
-"""Mean seconds between two sends of one such call."""
+"""Mean seconds between two sends of one poison request."""
 KINDS = ("book", "chat", "read")
 
 
 class PoisonCaller(Caller):
-    """Sends one call over and over, by all entries in turn.
+    """Sends one poison request repeatedly, through a random ready entry each time.
 
-    Its draws are its own, so that the faults of a seed stay as they are.
+    Uses its own random generator, so that the other faults of a seed do not change.
     """
 
     def __init__(self, balancer, operator, records, seed, number, stopped):
@@ -38,7 +38,7 @@
 
 
 class CrashHandler:
-    """Ends upstreams that run such a call, and starts others in their place."""
+    """Crashes upstreams that run a poison request, and starts replacements."""
 
     def __init__(self, platform, records, seed):
         self._platform = platform
@@ -46,7 +46,7 @@
         self._rng = random.Random(f"crashes {seed}")
 
     def crash(self, upstream):
-        """End an upstream; another one comes after a while."""
+        """Crash an upstream and start a replacement after a delay."""
         self._records.begin("crash", upstream.spec.name)
         self._platform.crash(upstream)
         threading.Thread(target=self._replace, args=(upstream,), daemon=True).start()
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -1,4 +1,4 @@
-"""What upstreams, callers and the fault plan saw, for the checks."""
+"""Records of upstreams, callers and injected faults, for the checks."""
 
 import math
 import threading
@@ -10,7 +10,7 @@
 
 @dataclass
 class Run:
-    """One request as an upstream took it; times are monotonic seconds."""
+    """One execution of a request at an upstream; times are monotonic seconds."""
 
     request_id: str
     upstream: str
@@ -23,12 +23,12 @@
     start: float
     body: bytes = b""
     spoiled: bool = False
-    """Whether the upstream itself spoiled the answer, as a fault."""
+    """Whether an injected fault of the upstream broke the answer."""
 
 
 @dataclass
 class Call:
-    """One request as its caller saw it."""
+    """One request as its caller observed it."""
 
     request_id: str
     kind: str
@@ -38,28 +38,28 @@
     timeout_s: float
     sent_at: float
     incarnation: int
-    """How often its entry had been started when it was sent."""
+    """Incarnation of the entry when the request was sent."""
     opened_at: float = math.inf
-    """When its connection was opened; infinite if it never was."""
+    """Time at which the connection was opened; infinite if it never was."""
     body: bytes = b""
     revoked_in: int | None = None
-    """The version of the configuration that withdrew its key, if one did."""
+    """Version of the configuration that revoked the key, if any."""
     status: int | None = None
     code: str = ""
-    """Of the entry's own refusal or failure."""
+    """Error code in a refusal or failure of the entry."""
     complete: bool = False
     correct: bool = False
-    """Whether the answer is the one that the upstream made for this request."""
+    """Whether the answer is the one that the upstream sent for this request."""
     retry_after: float | None = None
     gave_up_at: float | None = None
-    """When the caller gave it up, if it did."""
+    """Time at which the caller abandoned the request, if it did."""
     ended_at: float = 0.0
     error: str = ""
 
 
 @dataclass(frozen=True)
 class Span:
-    """Something that went on for a while."""
+    """Interval of a fault or planned action at a target."""
 
     fault: str
     target: str
@@ -70,20 +70,20 @@
 
 @dataclass
 class Records:
-    """Everything that was seen; safe to add to from many threads."""
+    """All records of a run; safe to append to from many threads."""
 
     runs: list[Run] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
     spans: list[Span] = field(default_factory=list)
     limits: list[LimitSpan] = field(default_factory=list)
     failures: list[str] = field(default_factory=list)
-    """Promises that were seen broken on the spot, each as a line."""
+    """Failures detected during the run, one line each."""
     _open_spans: dict[int, tuple[str, str, bool, float]] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
     started_at: float = field(default_factory=time.monotonic)
 
     def begin(self, fault, target, planned=False):
-        """Note that a fault begins; return what ends it."""
+        """Record the start of a fault; return a function that records its end."""
         item = (fault, target, planned, time.monotonic())
         key = id(item)
         with self._lock:
@@ -97,11 +97,11 @@
         return end
 
     def all_spans(self):
-        """Return the spans, with those that are still open up to now."""
+        """Return all spans; those still open end now."""
         now = time.monotonic()
         with self._lock:
             return [*self.spans, *(Span(*i, now) for i in self._open_spans.values())]
 
     def report_failure(self, text):
-        """Note a broken promise."""
+        """Record a failure with the time since the start of the run."""
         self.failures.append(f"{time.monotonic() - self.started_at:7.2f} {text}")
--- a/tests/soak/restores.py
+++ b/tests/soak/restores.py
@@ -1,4 +1,4 @@
-"""A store that is away for a moment and comes back from a copy some seconds old."""
+"""Short store outages, each ended by a restore from a copy some seconds old."""
 
 import random
 import threading
@@ -6,14 +6,14 @@
 from collections import deque
 
 MEAN_GAP_S = 9.0
-"""Mean seconds between two restores; some come twice in a row."""
+"""Mean seconds between two restores; some are followed by a second one at once."""
 COPY_INTERVAL_S, MAX_COPIES = 0.5, 8
 OUTAGE_S = 0.2, 1.0
 SECOND_RESTORE_RATE = 0.25
 
 
 class StoreRestorer(threading.Thread):
-    """Restores the store, with draws of its own."""
+    """Restores the store at random times, with its own random generator."""
 
     def __init__(self, platform, records, seed, log):
         super().__init__(daemon=True)
@@ -40,7 +40,7 @@
 
     def _restore(self):
         copy, seconds = self._rng.choice(self._copies), self._rng.uniform(*OUTAGE_S)
-        self._log(f"store away for {seconds:.2f} s, then back from a copy")
+        self._log(f"store down for {seconds:.2f} s, then restored from a copy")
         end_span = self._records.begin("restore", "store")
         faults = self._platform.state.faults
         faults.down = True
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak from its seed to its verdict."""
+"""A complete soak run for one seed."""
 
 import random
 import shutil
@@ -18,18 +18,18 @@
 from soak.upstreams import POISON_PREFIX, derive_rng
 
 WARM_UP_S = 2.0
-"""Seconds of calls before the first fault."""
+"""Seconds of requests before the first fault."""
 RECOVERY_BOUND_S = 12.0
-"""Seconds after the last fault within which calls are served again."""
+"""Seconds after the last fault within which requests must be served again."""
 RECOVERY_WINDOW_S, MIN_SERVED_SHARE = 1.5, 0.8
-"""Seconds of calls that are looked at for it, and the part of them to be served."""
+"""Seconds of recent requests examined for recovery, and the share to be served."""
 START_TIMEOUT_S = 20.0
 MAX_MEMORY_MB = 300.0
 
 
 @dataclass(frozen=True)
 class Size:
-    """How much is played."""
+    """Duration and number of participants of a run."""
 
     seconds: float = 15.0
     gap: float = 0.8
@@ -38,12 +38,12 @@
     ledgers: int = 3
     callers: int = 12
     poison: int = 2
-    """Calls that crash each upstream that runs them."""
+    """Number of distinct poison requests."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """The outcome of one soak."""
+    """Result of one soak run."""
 
     failures: list[str]
     calls: int
@@ -53,7 +53,7 @@
     peak_memory_mb: float
 
     def summary(self):
-        """Return one line."""
+        """Format the outcome as one line."""
         return (
             f"{len(self.failures)} broken, {self.served} of {self.calls} calls served, "
             f"{self.faults} faults, recovered in {self.recovered_in} s, "
@@ -62,7 +62,7 @@
 
 
 class Soak:
-    """All parts of one run."""
+    """Participants and state of one run."""
 
     def __init__(self, seed, size, folder):
         self.size = size
@@ -90,14 +90,14 @@
         self.peak_memory_mb = 0.0
 
     def log(self, text):
-        """Note what the plan does."""
+        """Log an injected fault."""
         line = f"{time.monotonic() - self.records.started_at:7.2f} {text}"
         self.fault_log.append(line)
         with (self.folder / "faults.log").open("a") as out:
             out.write(line + "\n")
 
     def run(self):
-        """Play everything; return what was found."""
+        """Run all participants and faults; return the outcome."""
         for entry in self.entries:
             entry.start()
         supervisor = threading.Thread(target=self._supervise, daemon=True)
@@ -152,7 +152,7 @@
             time.sleep(0.05)
 
     def _supervise(self):
-        """Start entries anew that have ended, as the platform does."""
+        """Restart entries that have exited, as the platform does."""
         while not self.supervision_ended.wait(RESTART_DELAY_S):
             for entry in self.entries:
                 self.peak_memory_mb = max(self.peak_memory_mb, entry.memory_mb())
@@ -161,7 +161,7 @@
                     entry.start()
 
     def _await_recovery(self):
-        """Return the seconds until calls are served again."""
+        """Return the seconds until requests are served again, or None."""
         start = time.monotonic()
         while time.monotonic() - start < RECOVERY_BOUND_S + RECOVERY_WINDOW_S:
             time.sleep(0.25)
@@ -176,7 +176,7 @@
             served = sum(call.status == 200 and call.complete for call in calls)
             if len(calls) >= 5 and served >= MIN_SERVED_SHARE * len(calls):
                 return round(time.monotonic() - start, 1)
-        self.records.report_failure("recovery: calls are not served again")
+        self.records.report_failure("recovery: requests are not served again")
         return None
 
     def _stop_entries(self):
@@ -211,7 +211,7 @@
 
 
 def soak(seed, size, keep):
-    """Play one seed; keep its logs if a promise was broken."""
+    """Run one seed; keep its logs if a check failed."""
     folder = keep / f"seed-{seed}"
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds that failed once, in two halves that test files play side by side."""
+"""Seeds of past failures, split into two halves for test files that run in parallel."""
 
 import tomllib
 from pathlib import Path
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that speak the platform's protocol and note what reaches them."""
+"""Simulated upstreams that speak the platform's protocol and record every run."""
 
 import json
 import random
@@ -18,23 +18,23 @@
 EVENT_INTERVAL_S = 0.02
 EVENT_COUNT = 8
 POISON_PREFIX = b"poison"
-"""Begin of a body that crashes whoever runs it."""
+"""Prefix of a request body that crashes the upstream which runs it."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def answer_body(request_id):
-    """Return the body of a plain answer."""
+    """Return the body of an answer that is not streamed."""
     return f"answer to {request_id} ".encode() * 10
 
 
 def event_bytes(request_id, number):
-    """Return one event of a stream."""
+    """Return one event of a streamed answer."""
     return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
 
 
 @dataclass(frozen=True)
 class UpstreamSpec:
-    """What an upstream is; of a plain service it has no models."""
+    """Properties of an upstream; ``models`` is empty unless it is an engine."""
 
     name: str
     service: str
@@ -48,7 +48,7 @@
 
 @dataclass
 class Faults:
-    """What an upstream does wrong; parts of all requests, from 0 to 1."""
+    """Faults of an upstream, as shares of its requests or orders from 0 to 1."""
 
     fail: float = 0.0
     lose: float = 0.0
@@ -63,16 +63,16 @@
 
 
 class Upstream:
-    """One upstream on a port of its own, behind a relay."""
+    """One upstream on its own port, behind a relay."""
 
     def __init__(self, spec, records, rng):
         self.spec = spec
         self.faults = Faults()
         self.started_at_ms = int(time.time() * 1000)
         self.on_poison = None
-        """Takes this upstream when it runs a call that crashes it."""
+        """Callback with this upstream when it runs a poison request."""
         self.limit = None
-        """Requests a second that its answers say it takes, as text."""
+        """Requests a second that its answers announce as its limit, as text."""
         self.draining_since = None
         self.draining = False
         self._records = records
@@ -86,10 +86,10 @@
         self.closed = threading.Event()
         threading.Thread(target=self._accept, daemon=True).start()
 
-    # -- life --------------------------------------------------------------------
+    # -- state -------------------------------------------------------------------
 
     def close(self):
-        """Crash: everything ends at once."""
+        """Close the listener and reset all connections, as in a crash."""
         self.closed.set()
         self.relay.close()
         self._listener.close()
@@ -97,11 +97,11 @@
             self._reset(sock)
 
     def _in_use(self):
-        """Return the models and adapters that calls use, as they were named."""
+        """Return the model names of running requests, as their headers gave them."""
         return set(self._running.values())
 
     def record(self):
-        """Return what it says of itself in the store."""
+        """Return the registration record for the store."""
         with self._lock:
             spec = {
                 "service": self.spec.service,
@@ -131,7 +131,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             reader = sock.makefile("rb")
         except OSError:
-            # The upstream crashed while the connection came.
+            # The upstream crashed while it accepted the connection.
             return
         try:
             while not self.closed.is_set():
@@ -139,7 +139,7 @@
                 if req is None or not self._handle(req, sock):
                     return
         except (OSError, ValueError):
-            # Whoever called has gone; its run has been ended by then.
+            # The peer has closed the connection; the run has ended by now.
             return
         finally:
             self._socks.discard(sock)
@@ -187,7 +187,7 @@
             return self._handle_order(json.loads(req.body), sock)
         return self._handle_request(req, sock)
 
-    # -- calls -------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------
 
     def _handle_request(self, req, sock):
         request_id = req.headers.get("x-persimmonhitch-request-id", "")
@@ -277,7 +277,7 @@
         return True
 
     def _work_for(self, seconds, sock):
-        """Work for a while; return False if the caller leaves meanwhile."""
+        """Wait some seconds; return False if the peer or the upstream closes early."""
         readable, _, _ = select.select([sock], [], [], seconds)
         return not readable and not self.closed.is_set()
 
@@ -297,5 +297,5 @@
 
 
 def derive_rng(rng):
-    """Return a generator of its own, so that threads do not disturb its order."""
+    """Return a new generator, so that threads do not affect the draws of each other."""
     return random.Random(rng.random())
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages say what the code does: commands run, tables and figures match."""
+"""The documentation matches the code: commands run, tables and names agree."""
 
 import re
 import shlex
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def operator_dir(tmp_path, monkeypatch):
-    """An operator's directory, and an object API that its files name."""
+    """Directory with the example files, pointed at a running object store."""
     server = WebServer(StoreApp(StoreState()), "127.0.0.1", 0, 8)
     server.start()
     for path in (DOCS / "examples").iterdir():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes on loopback."""
+"""Requests from the caller to the upstream through real processes on loopback."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 def streamed_text(body: bytes) -> str:
-    """Return the text that the events of a stream hold."""
+    """Return the text of the events of a stream."""
     events = [line[6:] for line in body.split(b"\n") if line.startswith(b"data: {")]
     deltas = [json.loads(event)["choices"][0]["delta"] for event in events]
     return "".join(delta.get("content", "") for delta in deltas).strip()
@@ -129,7 +129,7 @@
 
 
 def test_ordinary_session(fleet):
-    """What callers get, one answer of each kind, as a golden file."""
+    """One answer of each kind, compared with a golden file."""
     session = Session("ordinary")
     fleet.apply_lists(ACCOUNTS + "[account ships]\nplan = more\n", PLANS + ABSENT)
     fleet.issue_key("ships")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short randomized soak of real entries, and half of the seeds that ever failed."""
+"""A short randomized soak of real entries, and half of the seeds of past failures."""
 
 import pytest
 from soak.run import Size, soak
@@ -12,8 +12,8 @@
     ("seed", "size"), [(SHORT_SEED, SHORT), *((seed, Size()) for seed in EVEN_SEEDS)]
 )
 def test_promises_hold_under_faults(seed, size, tmp_path):
-    """Entries are stopped, killed, paused and cut off in series while callers go on,
-    upstreams crash and leave, the store fails and configurations change. A caller sees
-    a booking that ran twice, an answer that is another's, or a service that stays down.
+    """Guards against bookings that run twice, answers of other requests and services
+    that stay down, while entries stop, crash, pause and lose connections, upstreams
+    crash and drain, the store fails and configurations change.
     """
     assert soak(seed, size, tmp_path).failures == []
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""What the soak's checks take for a broken promise."""
+"""Cases that the checks of the soak report or excuse."""
 
 import pytest
 from soak.checks import (
@@ -33,7 +33,7 @@
     ],
 )
 def test_only_silenced_connections_excuse_a_late_answer(opened_at, sent_at, due):
-    """A kept connection may be silenced just before a call is sent on it."""
+    """A persistent connection may be muted just before a request is sent on it."""
     call = Call("q1", "read", "/read/x", "e1", "large", PATIENCE, sent_at, 1, opened_at)
     call.ended_at = ENDED_AT
     assert bool(list(_answered_in_time(_evidence(call)))) is due
@@ -50,7 +50,7 @@
 def test_only_harmed_paths_excuse_a_call_that_comes_after_its_caller_left(
     harmed, after, due
 ):
-    """A call that was sent in time may be held up on the path to its upstream."""
+    """A fault on the path to the upstream may delay a request sent in time."""
     call = Call("q1", "read", "/read/x", "e1", "large", PATIENCE, 100.0, 1, 100.0)
     call.gave_up_at = 100.1
     records = Records(calls=[call])
