--- a/src/persimmonhitch/kernel/__init__.py
+++ b/src/persimmonhitch/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""The kernel: a registry of plug-ins and the life of one process."""
+"""Plug-in registry, process lifecycle and the main loop of a program."""
 
 from .lifecycle import Lifecycle
 from .registry import Registry
--- a/src/persimmonhitch/kernel/actors.py
+++ b/src/persimmonhitch/kernel/actors.py
@@ -1,4 +1,4 @@
-"""Types for calls through actor proxies."""
+"""Static types for method calls through pykka actor proxies."""
 
 from collections.abc import Callable
 from typing import Any, Concatenate, Generic, ParamSpec, Protocol, TypeVar, cast
@@ -10,15 +10,15 @@
 
 
 class ProxyMethod(Protocol, Generic[P, R]):
-    """A method of an actor, as its proxy offers it."""
+    """Type of an actor method on the actor's proxy."""
 
     def __call__(self, *args: P.args, **kwargs: P.kwargs) -> "pykka.Future[R]":
-        """Call it; the future holds its result or its error."""
+        """Call the method; return a future of its result or exception."""
 
     def defer(self, *args: P.args, **kwargs: P.kwargs) -> None:
-        """Call it without an answer; an error goes to the actor's ``on_failure``."""
+        """Call the method without a reply; errors go to the actor's ``on_failure``."""
 
 
 def proxied(method: Callable[Concatenate[Any, P], R]) -> ProxyMethod[P, R]:
-    """Type a method on an actor's proxy."""
+    """Cast an actor method to its type on the actor's proxy."""
     return cast(ProxyMethod[P, R], method)
--- a/src/persimmonhitch/kernel/lifecycle.py
+++ b/src/persimmonhitch/kernel/lifecycle.py
@@ -1,4 +1,4 @@
-"""Order of start and stop for the parts of one process, and its signals."""
+"""Shutdown order and signal handling of one process."""
 
 import signal
 import threading
@@ -11,10 +11,10 @@
 
 
 class Lifecycle:
-    """Runs stop steps in reverse order of their entry.
+    """Runs the registered stop steps in reverse order of registration.
 
-    The first signal asks for a graceful stop; the second one sets ``forced``,
-    which ends every wait at once.
+    The first SIGTERM or SIGINT requests a graceful stop. The second sets ``forced``,
+    which ends every wait of the shutdown immediately.
     """
 
     def __init__(self) -> None:
@@ -24,22 +24,23 @@
         self._stop_steps: list[tuple[str, Callable[[], None]]] = []
 
     def on_stop(self, name: str, step: Callable[[], None]) -> None:
-        """Enter a step to run at the stop; the last one entered runs first."""
+        """Register a stop step; the step registered last runs first."""
         self._stop_steps.append((name, step))
 
     def on_reload(self, step: Callable[[], None]) -> None:
-        """Set what SIGHUP asks for; without it the signal is logged alone."""
+        """Set the function that SIGHUP runs; without one, SIGHUP is only logged."""
         self._reload = step
 
     def install_signals(self) -> None:
-        """Let SIGTERM and SIGINT ask for the stop; before any thread starts.
+        """Handle SIGTERM, SIGINT and SIGHUP; call this before any thread starts.
 
-        SIGHUP asks to read the settings anew; by default it would end the process.
+        SIGTERM and SIGINT request a stop. SIGHUP reloads the settings; its default
+        action would terminate the process.
 
-        A thread of its own waits for them. A handler would run on the main thread
-        between any two of its steps: while that thread holds an event's lock, the
-        handler waits for the same lock for ever, and the process ignores SIGTERM.
-        One that was just thawed may even have its handler run by no thread at all.
+        A dedicated thread waits for the signals. A Python signal handler runs on the
+        main thread between two bytecodes: if that thread holds an event's lock, the
+        handler deadlocks on the same lock and the process ignores SIGTERM. In a process
+        that was just resumed after a freeze, the handler may not run on any thread.
         """
         signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
         threading.Thread(target=self._on_signals, name="signals", daemon=True).start()
@@ -62,11 +63,11 @@
             log("reload_failed", error=repr(exc))
 
     def wait(self) -> None:
-        """Return once a stop is asked for."""
+        """Block until a stop is requested."""
         self.stopping.wait()
 
     def stop(self) -> None:
-        """Run all steps; one that fails is logged and the rest still run."""
+        """Run all stop steps; log a step that fails and run the remaining ones."""
         self.stopping.set()
         for name, step in reversed(self._stop_steps):
             try:
--- a/src/persimmonhitch/kernel/registry.py
+++ b/src/persimmonhitch/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Registry in which plug-ins enter themselves under a name."""
+"""Registry of plug-ins by name, filled by a decorator."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -7,16 +7,16 @@
 
 
 class DuplicatePlugin(ValueError):
-    """Two plug-ins claim one name."""
+    """Two plug-ins were registered under the same name."""
 
 
 class Registry(Generic[T]):
-    """Plug-ins of one sort by name.
+    """Plug-ins of one kind by name.
 
     Parameters
     ----------
-    sort : str
-        What the plug-ins are, for error messages.
+    kind : str
+        Name of the plug-in kind, used in error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -24,7 +24,7 @@
         self._plugins: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Return a decorator that enters a plug-in under ``name``."""
+        """Return a decorator that registers a plug-in under ``name``."""
 
         def add(plugin: T) -> T:
             if name in self._plugins:
@@ -35,13 +35,13 @@
         return add
 
     def get(self, name: str) -> T | None:
-        """Return the plug-in of that name, or None."""
+        """Return the plug-in registered under ``name``, or None."""
         return self._plugins.get(name)
 
     def names(self) -> tuple[str, ...]:
-        """Return all names, sorted."""
+        """Return the names of all plug-ins, sorted."""
         return tuple(sorted(self._plugins))
 
     def __iter__(self) -> Iterator[tuple[str, T]]:
-        """Yield names and plug-ins in order of name."""
+        """Yield pairs of name and plug-in, sorted by name."""
         return iter(sorted(self._plugins.items()))
--- a/src/persimmonhitch/kernel/service.py
+++ b/src/persimmonhitch/kernel/service.py
@@ -1,4 +1,4 @@
-"""Runs one program from its settings to its last line of log."""
+"""Run a program: load settings, start, wait for a signal, stop, flush logs."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 
 class HasVm(Protocol):
-    """Settings that name the VM."""
+    """Settings that contain the name of the VM."""
 
     @property
     def vm(self) -> str:
@@ -20,13 +20,13 @@
 
 
 class Service(Protocol):
-    """A program that starts and stops."""
+    """A program that ``run_service`` can start and stop."""
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Start serving requests."""
 
     def stop(self, lifecycle: Lifecycle) -> None:
-        """Leave without cutting a request."""
+        """Shut down gracefully: let requests in progress complete."""
 
 
 def run_service(
@@ -35,24 +35,25 @@
     args: dict[str, Any],
     build: Callable[[S, Lifecycle], Service],
 ) -> int:
-    """Run a program until a signal ends it; return its exit code.
+    """Run a program until a signal stops it; return its exit code.
 
     Parameters
     ----------
     name : str
-        Name of the program in its logs.
+        Name of the program in the logs.
     settings : type
-        What its settings file is read into.
+        Dataclass that the settings file is loaded into.
     args : dict
-        Its command line: ``--settings`` and ``--check``.
+        Parsed command line with the options ``--settings`` and ``--check``.
     build : callable
-        Makes the program from its settings.
+        Creates the service from its settings.
     """
     cfg = load_or_exit(settings_type, Path(args["--settings"]))
     if args["--check"]:
         return 0
     lifecycle = Lifecycle()
-    # Before the logs: their thread would take the signals by their default.
+    # Block signals before the log thread starts: a thread that does not block them
+    # would receive them with their default action.
     lifecycle.install_signals()
     start_logs(name, cfg.vm)
     service = build(cfg, lifecycle)
--- a/src/persimmonhitch/observe/logs.py
+++ b/src/persimmonhitch/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event."""
+"""Structured logs: one line of key=value pairs per event."""
 
 import sys
 import threading
@@ -11,17 +11,17 @@
 
 OMITTED: Final = frozenset({"task_uuid", "task_level", "timestamp", "message_type"})
 MAX_QUEUED_LINES: Final = 2000
-"""Lines that wait for a slow reader; about half a megabyte."""
+"""Maximum queued lines while the reader is slow; about half a megabyte."""
 FLUSH_TIMEOUT_S: Final = 0.5
-"""Seconds that the end of a process waits for its last lines."""
+"""Seconds that a process waits at exit until its queued lines are written."""
 MAX_SAMPLED_PER_S: Final = 50
-"""Lines a second of answers that went well: enough to see a process at work, and a
-bound on what they cost however many requests come."""
+"""Lines per second of one sampled event: enough to see that a process is working, and
+a limit on the cost of logging that does not depend on the request rate."""
 QUOTED_CHARS: Final = frozenset(' "=\n\t\r')
 
 
 def format_value(value: object) -> str:
-    """Return a value as it stands in a line, quoted where it must be."""
+    """Format a value for a log line, quoted and escaped if necessary."""
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     if text and not QUOTED_CHARS.intersection(text):
         return text
@@ -31,7 +31,7 @@
 
 
 def format_event(event: dict[str, Any]) -> str:
-    """Return the line for one event of the logging library."""
+    """Format an eliot event as a log line."""
     time_utc = datetime.fromtimestamp(event["timestamp"], tz=UTC)
     timestamp = time_utc.isoformat(timespec="milliseconds")
     pairs = [f"ts={timestamp}", f"event={format_value(event.get('message_type', '-'))}"]
@@ -40,11 +40,11 @@
 
 
 class LogWriter:
-    """Writes events as lines to a stream, from a thread of its own.
+    """Writes events as lines to a stream from a dedicated thread.
 
-    Whoever reads the stream may stop reading. A thread that wrote to it by itself would
-    then stop too, and with it the request that it serves; here lines that find the
-    queue full are left out and counted.
+    The reader of the stream may stop reading. A request thread that wrote to the stream
+    directly would then block together with its request. Instead, lines are dropped and
+    counted while the queue is full.
     """
 
     def __init__(self, stream: TextIO, max_lines: int = MAX_QUEUED_LINES) -> None:
@@ -58,7 +58,7 @@
         self._thread.start()
 
     def __call__(self, event: dict[str, Any]) -> None:
-        """Take one event."""
+        """Queue one event, or count it as dropped if the queue is full."""
         line = format_event(event)
         with self._changed:
             if len(self._lines) >= self._max_lines:
@@ -83,11 +83,11 @@
                 self._stream.write("\n".join(lines) + "\n")
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody is left to tell it to.
+                # The stream is closed, so this error cannot be logged either.
                 return
 
     def flush(self, timeout_s: float) -> None:
-        """Wait until all lines are written, for at most ``limit`` seconds."""
+        """Wait until all lines are written, for at most ``timeout_s`` seconds."""
         deadline = time.monotonic() + timeout_s
         with self._changed:
             while (self._lines or self._writing) and time.monotonic() < deadline:
@@ -98,7 +98,7 @@
 
 
 def start_logs(program: str, vm: str) -> None:
-    """Send all events of this process to standard output."""
+    """Write all events of this process to standard output."""
     writer = LogWriter(sys.stdout)
     _writers.append(writer)
 
@@ -109,27 +109,27 @@
 
 
 def flush_logs(timeout_s: float = FLUSH_TIMEOUT_S) -> None:
-    """Write what is still queued, before a process ends."""
+    """Wait until the queued lines are written; call it before the process exits."""
     for writer in _writers:
         writer.flush(timeout_s)
 
 
 def announce(line: str) -> None:
-    """Print a line for whoever started this process, whole beside the logs' lines."""
+    """Print a line for the parent process, never interleaved with a log line."""
     sys.stdout.write(f"{line}\n")
     sys.stdout.flush()
 
 
 def log(event: str, **fields: object) -> None:
-    """Log one event; fields hold neither keys nor prompts."""
+    """Log one event; fields must not contain API keys or prompts."""
     log_message(message_type=event, **fields)
 
 
 class SampledLog:
-    """Logs events of one sort up to a number a second, and counts the rest.
+    """Logs up to ``max_per_s`` events of one kind per second and counts the others.
 
-    Answers that went well come by the thousand under load and say the same; each line
-    takes processor time from the requests that are to be answered.
+    Under load there are thousands of successful answers per second with similar log
+    lines, and each line takes processor time from the requests.
     """
 
     def __init__(self, event: str, max_per_s: int = MAX_SAMPLED_PER_S) -> None:
@@ -140,7 +140,7 @@
         self._lock = threading.Lock()
 
     def log(self, **fields: object) -> None:
-        """Log one event, or count it."""
+        """Log one event, or only count it if the limit of this second is reached."""
         now = int(time.monotonic())
         with self._lock:
             dropped = 0
--- a/src/persimmonhitch/observe/metrics.py
+++ b/src/persimmonhitch/observe/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of one process: typed instruments and their text for a scrape.
+"""Metrics of one process: typed instruments and the Prometheus text format.
 
-Names follow the OpenTelemetry conventions for HTTP and generative models where
-those have one; the rest stand under ``persimmonhitch``. The page
-docs/OPERATIONS.md says what each one means to an operator.
+Names follow the OpenTelemetry semantic conventions for HTTP and generative AI where
+these define one; all other names have the prefix ``persimmonhitch``. The page
+docs/OPERATIONS.md explains each metric to operators.
 """
 
 import threading
@@ -22,20 +22,22 @@
 
 CONTENT_TYPE: Final = "text/plain; version=0.0.4; charset=utf-8"
 MAX_ACCOUNTS: Final = 200
-"""Accounts with series of their own in one process; the rest share one."""
+"""Accounts with separate time series per process; all other accounts share one."""
 OTHER_ACCOUNTS: Final = "other"
+"""Label value shared by the accounts above the limit."""
 COMPLETED: Final = "ran"
+"""Verdict label of requests that did not fail."""
 BUCKETS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 2.5, 5.0, 15.0)
-"""Bucket bounds of waits; 0.75 s is the aim for the first token."""
+"""Bucket bounds in seconds; 0.75 s is the latency target of the first token."""
 GAP_BUCKETS: Final = (0.005, 0.01, 0.02, 0.03, 0.04, 0.054, 0.075, 0.1, 0.25, 1.0)
-"""Bucket bounds of the time between tokens; 54 ms is the aim."""
+"""Bucket bounds in seconds of the gap between tokens; the target is 54 ms."""
 
 Labels = Mapping[str, str | int]
 
 
 @dataclass(frozen=True)
 class Instrument:
-    """One metric as operators see it, for the page and for the tests."""
+    """Definition of one metric, also used by the documentation and the tests."""
 
     name: str
     unit: str
@@ -151,11 +153,11 @@
 
 @dataclass
 class AccountLabels:
-    """Bounds the number of accounts that have series of their own.
+    """Limits the number of accounts that have separate time series.
 
-    Every label value keeps its series until the process ends. Without a bound
-    a fleet with many accounts would grow each process past its memory, which
-    shows as ``process_resident_memory_bytes`` that climbs by the day.
+    The series of a label value stays in memory until the process exits. Without a
+    limit, many accounts would exhaust the memory of each process, visible as a steady
+    rise of ``process_resident_memory_bytes`` over days.
     """
 
     max_accounts: int = MAX_ACCOUNTS
@@ -163,7 +165,7 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def label(self, account: Account | None) -> str:
-        """Return the account's label value."""
+        """Return the label value of an account: its name, or the shared value."""
         if account is None:
             return "-"
         with self._lock:
@@ -176,14 +178,14 @@
 
 
 class Metrics:
-    """The instruments of one process; every method may be called by any thread.
+    """The instruments of one process; all methods are thread-safe.
 
     Parameters
     ----------
     program, vm : str
-        Source of the figures.
+        Resource attributes of all metrics: the program and its VM.
     max_accounts : int
-        Accounts with series of their own.
+        Number of accounts with separate time series.
     """
 
     def __init__(self, program: str, vm: str, max_accounts: int = MAX_ACCOUNTS) -> None:
@@ -232,7 +234,7 @@
         )
 
     def request_started(self, route: str) -> None:
-        """Count a request in; ``route`` is ``chat``, ``models`` or ``service``."""
+        """Count a started request; ``route`` is ``chat``, ``models`` or ``service``."""
         self._active.add(1, {"route": route})
 
     def request_done(
@@ -243,7 +245,7 @@
         failure: Failure | None,
         seconds: float,
     ) -> None:
-        """Count a request out with its outcome."""
+        """Count a completed request with its outcome."""
         verdict = COMPLETED if failure is None else failure.verdict.value
         self._active.add(-1, {"route": route})
         self._duration.record(seconds, {"route": route})
@@ -259,19 +261,19 @@
             self._refusals.add(1, {"code": code, "verdict": verdict})
 
     def queue_time(self, account: Account, seconds: float) -> None:
-        """Record how long a request waited before it was sent on."""
+        """Record the time that an admitted request waited until it was sent."""
         self._queue_time.record(seconds, self._account_labels(account))
 
     def first_token(self, account: Account, seconds: float) -> None:
-        """Record the time to the first part of an answer."""
+        """Record the time to the first chunk of an answer."""
         self._first_token.record(seconds, self._account_labels(account))
 
     def token_gap(self, seconds: float) -> None:
-        """Record the time between two parts of an answer."""
+        """Record the time between two chunks of an answer."""
         self._token_gap.record(seconds)
 
     def update_age(self, seconds: float) -> None:
-        """Record how old the news of another entry were when they came."""
+        """Record the age of another entry's status update on arrival."""
         self._update_age.record(seconds)
 
     def tokens_used(self, account: Account, tokens: float) -> None:
@@ -279,32 +281,32 @@
         self._tokens.add(tokens, self._account_labels(account))
 
     def retried(self, failure: Failure) -> None:
-        """Count an attempt beyond the first, after ``failure``."""
+        """Count a retry that was caused by ``failure``."""
         self._retries.add(1, {"code": failure.code.value})
 
     def borrowed(self, account: Account, tokens: float) -> None:
-        """Count tokens that came from another entry's share."""
+        """Count tokens borrowed from another entry's share."""
         self._borrowed.add(tokens, self._account_labels(account))
 
     def config_version(self, version: ConfigVersion) -> None:
-        """Show the configuration version in force."""
+        """Set the version of the active configuration."""
         self._version.set(version)
 
     def store_era(self, era: int) -> None:
-        """Show how often the store has come back from a copy."""
+        """Set the store era: how often the store was restored from an older copy."""
         self._era.set(era)
 
     def share_generation(self, account: Account, generation: int) -> None:
-        """Show the generation of an account's share record."""
+        """Set the generation of an account's share record."""
         self._generation.set(generation, self._account_labels(account))
 
     def _account_labels(self, account: Account) -> Labels:
         return {"account": self._accounts.label(account)}
 
     def render(self) -> bytes:
-        """Return all figures in the text form that scrapers read."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """End the collection."""
+        """Shut down the meter provider."""
         self._provider.shutdown()
--- a/src/persimmonhitch/observe/traces.py
+++ b/src/persimmonhitch/observe/traces.py
@@ -1,8 +1,8 @@
-"""Traces: one span for each hop, under the caller's ``traceparent``.
+"""Traces: one span per hop of a request, children of the caller's ``traceparent``.
 
-Ended spans go to the logs, one line each, so that no collector has to run. The
-line's event is ``span`` with the hop's name, and the ids join the hops of
-one request over all processes.
+Ended spans are written to the logs, one line each, so that no trace collector is
+needed. The log event is ``span`` with the name of the hop; the trace id connects the
+hops of one request across processes.
 """
 
 from collections.abc import Iterator, Sequence
@@ -53,10 +53,10 @@
         "verdict",
     }
 )
-"""Names that a span may carry; whatever else is given is dropped.
+"""Names of the attributes that a span may have; others are dropped.
 
-A span that took any name could one day be handed a header or a body, and the
-caller's key or prompt would stand in the logs for all to read.
+Without this list, code that passes a header or a body as an attribute would write the
+caller's API key or prompt to the logs.
 """
 
 Value = str | int | float
@@ -65,7 +65,7 @@
 
 
 class HopName(Enum):
-    """The hops of a request, each with a span of its own."""
+    """The hops of a request; each has a separate span."""
 
     ENTRY = "entry"
     QUEUE = "queue"
@@ -74,10 +74,10 @@
 
 
 class LogExporter(SpanExporter):
-    """Writes each ended span as one line to the logs."""
+    """Writes each ended span to the logs as one line."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Log the spans."""
+        """Log the spans, one event each."""
         for span in spans:
             _log_span(span)
         return SpanExportResult.SUCCESS
@@ -116,40 +116,39 @@
 
 
 class Hop:
-    """An open span; ``traceparent`` is what the next hop continues."""
+    """An open span; the next hop uses ``traceparent`` as its parent."""
 
     def __init__(self, span: Span) -> None:
         self._span = span
         self.traceparent = _format_traceparent(set_span_in_context(span))
 
     def set(self, **attributes: Value) -> None:
-        """Add attributes; see ``ATTRIBUTES`` for those that are kept."""
+        """Add attributes; names that ``ALLOWED_ATTRIBUTES`` lacks are dropped."""
         if self._span.is_recording():
             self._span.set_attributes(_allowed(attributes))
 
     def fail(self, failure: Failure) -> None:
-        """Add the code and the verdict of a failure."""
+        """Add the error code and the verdict of a failure as attributes."""
         self.set(code=failure.code.value, verdict=failure.verdict.value)
 
     def end(self) -> None:
-        """End the span; only the first call counts."""
+        """End the span; further calls have no effect."""
         if self._span.is_recording():
             self._span.end()
 
 
 class Traces:
-    """Spans of one process.
+    """Creates the spans of one process.
 
     Parameters
     ----------
     ratio : float
-        Part of all traces that is kept, from 0 to 1.
+        Fraction of traces that are sampled, from 0 to 1.
     """
 
     def __init__(self, ratio: float) -> None:
-        # Spans end on the thread that did the work and are written at once: a
-        # batching exporter would lose the last spans of a killed process, just
-        # those that one looks for.
+        # Each span is exported synchronously when it ends. A batching exporter would
+        # lose the last spans of a killed process, which are needed to diagnose it.
         self._sampler = TraceIdRatioBased(ratio)
         self._provider = TracerProvider(
             ParentBased(self._sampler),
@@ -161,12 +160,11 @@
         self._tracer = self._provider.get_tracer("persimmonhitch")
 
     def resample(self, traceparent: str) -> str:
-        """Return the caller's ``traceparent`` with our own sampling decision.
+        """Return the caller's ``traceparent`` with the local sampling decision.
 
-        The trace id stays. The caller's sampled flag does not: a caller who
-        sets it on each request would otherwise decide how much we log, seen as
-        log volume that grows with no change of ours. A value that cannot be
-        read yields an empty text, and with it a new trace.
+        The trace id is preserved, the caller's sampled flag is replaced. Otherwise a
+        caller that sets the flag on each request would control the log volume. An
+        invalid ``traceparent`` gives an empty string, which starts a new trace.
         """
         ctx = get_current_span(_extract_context(traceparent)).get_span_context()
         if not ctx.is_valid:
@@ -178,7 +176,7 @@
         return _format_traceparent(set_span_in_context(NonRecordingSpan(span_context)))
 
     def start(self, name: HopName, traceparent: str, **attributes: Value) -> Hop:
-        """Open a span that one thread may begin and another end."""
+        """Start a span; any thread may end it."""
         span = self._tracer.start_span(
             name.value, _extract_context(traceparent), attributes=_allowed(attributes)
         )
@@ -188,7 +186,7 @@
     def hop(
         self, name: HopName, traceparent: str, **attributes: Value
     ) -> Iterator[Hop]:
-        """Open a span for the time of a ``with`` block."""
+        """Start a span that ends with the ``with`` block."""
         opened = self.start(name, traceparent, **attributes)
         try:
             yield opened
--- a/src/persimmonhitch/settings/__init__.py
+++ b/src/persimmonhitch/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Checked settings, read from INI files."""
+"""Typed and validated settings from INI files."""
 
 from .load import Mistake, load, load_or_exit, setting, table
 
--- a/src/persimmonhitch/settings/load.py
+++ b/src/persimmonhitch/settings/load.py
@@ -1,4 +1,4 @@
-"""Read a settings file whole and name every mistake in it."""
+"""Load a settings file into a dataclass and report every mistake in the file."""
 
 import configparser
 import sys
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """One thing wrong with a settings file."""
+    """An error in a settings file and the expected value."""
 
     file: str
     section: str
@@ -43,13 +43,13 @@
     Parameters
     ----------
     section, key : str
-        Where it stands in the file.
+        Section and key in the settings file.
     help : str
-        What it does, with its unit; shown in the operators' table.
+        Description of the setting with its unit, shown in the operators' table.
     default : optional
-        Its value when absent; without one the setting must be given.
+        Value if the key is absent; without a default the key is required.
     low, high : float, optional
-        Bounds of a number, both allowed.
+        Inclusive bounds of a numeric setting.
     """
     metadata = {"section": section, "key": key, "help": help, "low": low, "high": high}
     return field(default=default, metadata=metadata)
@@ -77,12 +77,12 @@
 
 
 PARSERS: Final[dict[Any, tuple[Callable[[str], Any], str]]] = {
-    str: (str, "a text"),
+    str: (str, "a string"),
     int: (int, "a whole number"),
     float: (float, "a number"),
     bool: (_parse_bool, "yes or no"),
     tuple[str, ...]: (_parse_list, "a list separated by commas"),
-    tuple[tuple[str, int], ...]: (_parse_addresses, "a list of host:port with commas"),
+    tuple[tuple[str, int], ...]: (_parse_addresses, "a list of host:port pairs"),
 }
 
 
@@ -124,12 +124,12 @@
 
 
 def load(cls: type[T], path: Path) -> Result[T, tuple[Mistake, ...]]:
-    """Read a settings file into the dataclass ``cls``.
+    """Load a settings file into the dataclass ``cls``.
 
     Returns
     -------
     Result
-        The settings, or every mistake in the file.
+        The settings, or all mistakes in the file.
     """
     ini = configparser.ConfigParser(interpolation=None)
     file = str(path)
@@ -156,7 +156,7 @@
 
 
 def load_or_exit(cls: type[T], path: Path) -> T:
-    """Return the settings, or print every mistake and exit with 2."""
+    """Return the settings, or print all mistakes and exit with status 2."""
     result = load(cls, path)
     if isinstance(result, Success):
         settings: T = result.unwrap()
@@ -167,7 +167,7 @@
 
 
 def table(cls: type) -> str:
-    """Return the operators' table of all settings of ``cls`` in Markdown."""
+    """Return a Markdown table of all settings of ``cls`` for operators."""
     rows = ["| section | key | default | meaning |", "| --- | --- | --- | --- |"]
     for spec in fields(cls):
         meta = spec.metadata
--- a/src/persimmonhitch/web/__init__.py
+++ b/src/persimmonhitch/web/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers: requests, answers and the server that carries them."""
+"""HTTP interface to callers: requests, answers and the HTTP server."""
 
 from .http import Answer, Body, Request, json_answer, read_request
 from .server import WebServer
--- a/src/persimmonhitch/web/http.py
+++ b/src/persimmonhitch/web/http.py
@@ -1,4 +1,4 @@
-"""Typed requests and answers on top of WSGI."""
+"""Typed HTTP requests and answers on top of WSGI."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -17,7 +17,7 @@
 StartResponse = Callable[..., Any]
 
 MAX_BODY_BYTES: Final = 4 * 1024 * 1024
-"""Bytes of a caller's body; a prompt of a million tokens is about this long."""
+"""Maximum request body; about the length of a prompt of a million tokens."""
 ENVIRON_HEADER_PREFIX: Final = "HTTP_"
 
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A caller's request; header names are in lower case."""
+    """An HTTP request of a caller; header names are in lower case."""
 
     method: str
     path: str
@@ -36,19 +36,19 @@
     body: bytes
     disconnected: Callable[[], bool] = _not_disconnected
     target: str = ""
-    """Path and query as the caller sent them, to be passed on unchanged."""
+    """Path and query exactly as received, to be forwarded unchanged."""
 
 
 @dataclass(frozen=True)
 class Answer:
-    """Status, headers and body of an answer."""
+    """Status, headers and body of an HTTP answer."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
     body: Body = ()
 
     def send(self, start_response: StartResponse) -> Body:
-        """Start the answer and return its body."""
+        """Call ``start_response`` and return the body, as WSGI requires."""
         reason = HTTPStatus(self.status).phrase if self.status in _STATUSES else "Other"
         start_response(f"{self.status} {reason}", list(self.headers.items()))
         return self.body
@@ -58,7 +58,7 @@
 
 
 def json_answer(status: int, value: Any, **headers: str) -> Answer:
-    """Return an answer whose body is ``value`` as JSON."""
+    """Return an answer with ``value`` as its JSON body and additional headers."""
     data = json.dumps(value).encode()
     standard = {"Content-Type": "application/json", "Content-Length": str(len(data))}
     extra = {name.replace("_", "-"): text for name, text in headers.items()}
@@ -77,7 +77,7 @@
 
 
 def read_request(environ: Environ) -> Result[Request, Failure]:
-    """Return the request of a WSGI environment, its body read whole."""
+    """Return the request of a WSGI environment, including its complete body."""
     length = int(environ.get("CONTENT_LENGTH") or 0)
     if length > MAX_BODY_BYTES:
         return Err(
@@ -91,7 +91,7 @@
     return Success(
         Request(
             method=environ["REQUEST_METHOD"],
-            # The server hands the path over as Latin-1 text of its bytes.
+            # WSGI passes the bytes of the path decoded as Latin-1.
             path=quote(environ["PATH_INFO"].encode("latin-1"), safe="/:@!$&'()*+,;=~"),
             query=environ.get("QUERY_STRING", ""),
             headers=_headers(environ),
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: waitress, bounded, with a graceful stop of our own."""
+"""The HTTP server: waitress with a connection limit and a graceful stop."""
 
 import itertools
 import logging
@@ -15,23 +15,23 @@
 
 from .http import MAX_BODY_BYTES, Answer, Body, Environ, StartResponse, json_answer
 
-# What it would say of broken answers and of its queue is in our own logs, by request.
+# The application logs failed answers itself, by request; waitress would repeat them.
 logging.getLogger("waitress").setLevel(logging.CRITICAL)
 
 App = Callable[[Environ, StartResponse], Body]
 RefusalBuilder = Callable[[int], Answer]
-"""Makes the answer to a request that the server refuses with a status by itself."""
+"""Builds the answer to a request that the server itself refuses with a status."""
 
 INTERNAL_SOCKETS: Final = 2
-"""The listener and the wake-up pipe, which waitress counts as connections."""
+"""The listener and the trigger pipe, which waitress counts as connections."""
 MAX_UNSENT_BYTES: Final = 256 * 1024
-"""Bytes of an answer that wait for a slow reader."""
+"""Maximum buffered bytes of an answer to a slow client."""
 REQUEST_LOOKAHEAD: Final = 1
-"""Requests read ahead on a connection; without it a client's leave goes unseen."""
+"""Requests read ahead per connection; with 0 a client's disconnect is not detected."""
 MAX_IDLE_CONNS: Final = 2000
-"""Connections beside those in use; half of a small VM's descriptors."""
+"""Connections without a request; half of the file descriptors of a small VM."""
 POLL_INTERVAL_S: Final = 0.02
-"""Seconds between two looks at whether a stop has finished."""
+"""Seconds between two checks whether all requests are complete."""
 
 
 def _plain_refusal(status: int) -> Answer:
@@ -39,16 +39,16 @@
 
 
 class _Task(WSGITask):  # type: ignore[misc]
-    """Closes its connection after the answer while the server leaves.
+    """Closes its connection after the answer if keep-alive is disabled.
 
-    A kept connection would go on bringing requests to a process that waits for
-    its last one to end. The server alone may set the header ``Connection``, and
-    it does so when the request carries it.
+    A persistent connection would deliver further requests to a process that waits for
+    its last request to complete. Only waitress may set the ``Connection`` header of an
+    answer; it sends ``close`` if the request contains ``Connection: close``.
     """
 
     def set_close_on_finish(self) -> None:
-        # A chunked answer has an end of its own; the library closes after it all the
-        # same, and each caller of a stream would connect anew for its next request.
+        # A chunked answer is self-delimiting, so its connection can be reused. waitress
+        # closes it anyway: each client would reconnect after every stream.
         chunked = self.chunked_response and self.version == "1.1"
         requested = self.request.headers.get("CONNECTION", "").lower()
         if self.channel.server.keep_streams and chunked and requested != "close":
@@ -62,7 +62,7 @@
 
 
 class _ErrorTask(ErrorTask):  # type: ignore[misc]
-    """Answers what the server refuses by itself in the application's own form."""
+    """Answers requests that the server itself refuses in the application's format."""
 
     def execute(self) -> None:
         answer = self.channel.server.refusal(self.request.error.code)
@@ -79,10 +79,11 @@
     error_task_class = _ErrorTask
 
     def service(self) -> None:
-        """Run one request; close after it if idle connections are to be closed.
+        """Run one request; then close the connection if idle ones are being closed.
 
-        The head of its answer may have gone out before that was known, and the
-        connection would stay open and idle up to the end of the process.
+        The headers of the answer may have been sent without ``Connection: close``
+        before ``close_idle`` was called. The connection would then stay open and idle
+        until the process exits.
         """
         super().service()
         if self.server.closing_idle and not self.requests:
@@ -91,10 +92,10 @@
 
 
 class _OnDemandDispatcher(ThreadedTaskDispatcher):  # type: ignore[misc]
-    """Starts a thread when a request finds none idle, up to a limit.
+    """Starts a thread when a request arrives and none is idle, up to a limit.
 
-    Threads that wait for requests that never come cost a process its start and its
-    memory.
+    Starting all threads in advance would slow down the start of a process and cost
+    memory for threads that never receive a request.
     """
 
     def __init__(self, max_threads: int) -> None:
@@ -102,7 +103,7 @@
         self._max_threads = max_threads
 
     def add_task(self, task: Any) -> None:
-        """Queue a request for the next thread that is free."""
+        """Queue a request for the next idle thread."""
         with self.lock:
             self.queue.append(task)
             running = len(self.threads) - self.stop_count
@@ -119,13 +120,16 @@
 
 
 class WebServer:
-    """Serves one WSGI application on a thread of its own.
+    """Serves one WSGI application; the server loop runs on a separate thread.
 
-    waitress takes any number of requests into a queue of its own before the
-    application sees them. No deadline and no bound would apply to what waits
-    there: a caller sees late answers, and nothing shows in any metric. With as
-    many threads as connections that queue is always empty, and the limit on
-    connections is the bound. Threads are started as requests need them.
+    waitress queues any number of requests before it passes them to the application.
+    Neither deadlines nor limits apply to queued requests: callers would get late
+    answers, and no metric would show the delay. With as many threads as connections
+    the queue is always empty, and the connection limit bounds the requests. Threads
+    start on demand.
+
+    With ``keep_streams`` a connection stays open after a chunked answer, and up to
+    ``MAX_IDLE_CONNS`` idle connections are permitted in addition to ``threads``.
     """
 
     def __init__(
@@ -137,8 +141,8 @@
         refusal: RefusalBuilder = _plain_refusal,
         keep_streams: bool = False,
     ) -> None:
-        # Idle connections take no thread; where callers keep many, they must not
-        # keep out new ones.
+        # Idle connections occupy no thread. If callers keep many of them open, these
+        # must not use up the limit for new connections.
         conns = MAX_IDLE_CONNS + threads if keep_streams else threads
         self._server: Any = waitress.create_server(
             app,
@@ -150,11 +154,11 @@
             channel_request_lookahead=REQUEST_LOOKAHEAD,
             max_request_body_size=MAX_BODY_BYTES,
             clear_untrusted_proxy_headers=True,
-            # VMs have no disks: bodies stay in memory, and a slow reader stops its
-            # own thread long before its answer would overflow into a file.
+            # VMs have no disks, so bodies must stay in memory. The high watermark
+            # blocks the thread of a slow reader before its answer spills to a file.
             inbuf_overflow=2 * MAX_BODY_BYTES,
             outbuf_high_watermark=MAX_UNSENT_BYTES,
-            # With select() the loop ends at the first descriptor of 1,024 or more.
+            # With select() the loop fails at the first descriptor of 1,024 or more.
             asyncore_use_poll=True,
             ident=None,
         )
@@ -169,22 +173,22 @@
 
     @property
     def port(self) -> int:
-        """Return the TCP port that it listens on."""
+        """Return the TCP port of the listener."""
         return int(self._server.effective_port)
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Start the server loop."""
         self._thread.start()
 
     def disable_keep_alive(self) -> None:
-        """Close each connection after its present request from now on."""
+        """From now on, close each connection after its current request."""
         self._server.keep_alive_disabled = True
 
     def stop_listening(self) -> None:
-        """Close the listener; open connections go on.
+        """Close the listener; open connections are not affected.
 
-        It runs on the server's own thread, since that thread walks the table of
-        sockets, and closing from another one would break its walk.
+        The listener is closed on the server thread: that thread iterates over the
+        table of sockets, and a change by another thread would break the iteration.
         """
         closed = threading.Event()
 
@@ -198,8 +202,8 @@
     def close_idle(self) -> None:
         """Close connections without a request.
 
-        A caller that finds its connection closed opens another one elsewhere. What it
-        sent on one that is kept open here would be read by a process that ends soon.
+        A caller whose connection is closed connects to another entry. A request on a
+        connection that stayed open would reach a process that exits soon.
         """
 
         def close_all() -> None:
@@ -211,26 +215,27 @@
         self._server.trigger.pull_trigger(close_all)
 
     def busy_conns(self) -> int:
-        """Return how many connections have a request or unsent bytes."""
+        """Return the number of connections with a request or unsent bytes."""
         channels = list(self._server.active_channels.values())
         return sum(1 for c in channels if c.requests or c.total_outbufs_len)
 
     def drain(self, timeout_s: float, forced: threading.Event) -> int:
-        """Wait until no request is left; return how many are cut at the limit."""
+        """Wait until all requests complete; return the number of unfinished ones."""
         deadline = time.monotonic() + timeout_s
         while self.busy_conns() and time.monotonic() < deadline and not forced.is_set():
             forced.wait(POLL_INTERVAL_S)
         return self.busy_conns()
 
     def close(self) -> None:
-        """End everything that is left."""
+        """Close all connections and stop the server thread."""
         self._server.task_dispatcher.shutdown(timeout=0.1)
         for channel in list(self._server.active_channels.values()):
             channel.will_close = True
         trigger_pulled = threading.Event()
 
         def close_trigger() -> None:
-            # It may run for an earlier pull, before this one has written to the pipe.
+            # An earlier pull may run this function before the pull below has written
+            # to the pipe, so wait for it.
             trigger_pulled.wait(1.0)
             self._server.trigger.close()
 
--- a/src/persimmonhitch/wire/__init__.py
+++ b/src/persimmonhitch/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the system's own processes, and the links they travel on."""
+"""Messages between the processes of the system, and their transport (links)."""
--- a/src/persimmonhitch/wire/auth.py
+++ b/src/persimmonhitch/wire/auth.py
@@ -1,4 +1,4 @@
-"""Proof that the opener of a link holds the fleet's secret."""
+"""Authentication of links: an HMAC proof that the client has the fleet's secret."""
 
 import hashlib
 import hmac
@@ -7,7 +7,7 @@
 
 HEADER: Final = "Link-Proof"
 MAX_CLOCK_SKEW_S: Final = 300.0
-"""Seconds between the clocks of two VMs that are still accepted."""
+"""Maximum accepted clock difference between two VMs."""
 
 
 def _digest(secret: bytes, timestamp: str, nonce: str) -> str:
@@ -16,13 +16,13 @@
 
 
 def sign(secret: bytes, wall_time: float) -> str:
-    """Return the header's value for a link opened at wall time ``now``."""
+    """Return the header value for a link that is opened at ``wall_time``."""
     timestamp, nonce = str(int(wall_time)), secrets.token_hex(8)
     return f"{timestamp}.{nonce}.{_digest(secret, timestamp, nonce)}"
 
 
 def verify(secret: bytes, proof: str, wall_time: float) -> bool:
-    """Return whether the header's value proves the secret."""
+    """Return whether the header value ``proof`` was signed recently with ``secret``."""
     parts = proof.split(".")
     if len(parts) != 3 or not parts[0].isdigit():
         return False
--- a/src/persimmonhitch/wire/codec.py
+++ b/src/persimmonhitch/wire/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages as CBOR arrays: a kind, then the fields in their order."""
+"""Typed messages as CBOR arrays: the message number, then the fields in order."""
 
 import types
 from collections.abc import Callable, Mapping
@@ -15,22 +15,22 @@
 M = TypeVar("M", bound=type)
 
 MAX_FRAME_BYTES: Final = 8 * 1024 * 1024
-"""Bytes of one frame: a body of 4 MiB with room for headers and batching."""
+"""Maximum frame size: a body of 4 MiB with room for headers and batching."""
 
 _types_by_number: dict[int, type] = {}
 _numbers_by_type: dict[type, int] = {}
 
 
 class FrameError(ValueError):
-    """A frame does not hold what its kind demands."""
+    """A frame does not match the declared fields of its message type."""
 
 
 def message(number: int) -> Callable[[M], M]:
-    """Return a decorator that enters a dataclass as a message kind."""
+    """Return a decorator that registers a dataclass as the message ``number``."""
 
     def register(cls: M) -> M:
         if number in _types_by_number:
-            raise ValueError(f"message number {number} is taken")
+            raise ValueError(f"message number {number} is already registered")
         _types_by_number[number] = cls
         _numbers_by_type[cls] = number
         return cls
@@ -51,7 +51,7 @@
 
 
 def encode(msg: Any) -> bytes:
-    """Return the frame for a message."""
+    """Encode a message as a frame."""
     return cbor2.dumps([_numbers_by_type[type(msg)], *_pack(msg)])
 
 
@@ -123,7 +123,7 @@
     if origin is dict:
         return _mapping(_converter_for(args[0]), _converter_for(args[1]))
     if not isinstance(hint, type):
-        raise TypeError(f"no wire form for {hint!r}")
+        raise TypeError(f"no CBOR encoding for {hint!r}")
     if is_dataclass(hint):
         return _record(hint)
     if issubclass(hint, Enum):
@@ -132,23 +132,22 @@
 
 
 def decode(frame: bytes) -> Result[Any, str]:
-    """Return the message of a frame, or what is wrong with it.
+    """Decode a frame; return its message or a description of the error.
 
-    Every field is checked against its declared type, so that a peer of another
-    version or a faulty one yields an error here and not somewhere deep in a
-    state machine.
+    Every field is checked against its declared type. A frame of a faulty peer, or of
+    one with another version, is thus rejected before it reaches a state machine.
     """
     if len(frame) > MAX_FRAME_BYTES:
-        return Err(f"frame of {len(frame)} bytes")
+        return Err(f"frame too large: {len(frame)} bytes")
     try:
         parts = cbor2.loads(frame)
     except (cbor2.CBORDecodeError, RecursionError, MemoryError) as exc:
         return Err(f"not CBOR: {type(exc).__name__}")
     if type(parts) is not list or not parts or type(parts[0]) is not int:
-        return Err("not a list that starts with a kind")
+        return Err("not a list that starts with a message number")
     cls = _types_by_number.get(parts[0])
     if cls is None:
-        return Err(f"unknown kind {parts[0]}")
+        return Err(f"unknown message number {parts[0]}")
     try:
         return Success(_converter_for(cls)(parts[1:]))
     except (FrameError, TypeError, ValueError) as exc:
--- a/src/persimmonhitch/wire/link.py
+++ b/src/persimmonhitch/wire/link.py
@@ -1,8 +1,7 @@
-"""Links: one websocket between two processes that carries typed messages.
+"""Links: websocket connections between two processes that carry typed messages.
 
-All links of a process share one thread. With a thread or more for each, as the
-library's threaded side has it, 200 links took 1,200 threads and an eighth of a
-core while idle.
+All links of a process share one thread. With the threaded interface of the websockets
+library, 200 idle links used 1,200 threads and an eighth of a core.
 """
 
 import asyncio
@@ -28,30 +27,30 @@
 
 PING_INTERVAL_S: Final = 2.0
 PING_TIMEOUT_S: Final = 4.0
-"""Seconds; a frozen or cut-off peer is noticed after at most 6."""
+"""A frozen or disconnected peer is detected after at most 6 s, with both of these."""
 OPEN_TIMEOUT_S: Final = 2.0
 CLOSE_TIMEOUT_S: Final = 1.0
 CLOSE_POLICY_VIOLATION: Final = 1008
 MAX_UNSENT_BYTES: Final = 16 * 1024 * 1024
-"""Bytes that wait for a slow peer; two frames of the largest size."""
+"""Maximum queued bytes per link to a slow peer: two frames of the largest size."""
 
 
 class LinkHandler(Protocol):
-    """What a program does with a link's messages and its end.
+    """Callbacks for the messages and the end of a link.
 
-    Both methods are called on the links' thread and must not block: while one
-    waits, no message of any link is taken.
+    Both methods run on the event loop thread shared by all links and must not block:
+    a blocked callback delays the messages of every link.
     """
 
     def on_message(self, link: "Link", msg: Any) -> None:
-        """Take one message; called in order."""
+        """Handle one message; called in the order of arrival."""
 
     def on_close(self, link: "Link") -> None:
-        """Take the link's end; called once, after the last message."""
+        """Handle the end of the link; called once, after the last message."""
 
 
 class Link:
-    """One end of an open link; every method may be called from any thread."""
+    """One side of an open link; all public methods but ``run`` are thread-safe."""
 
     def __init__(self, conn: Connection, peer: str) -> None:
         self._conn = conn
@@ -63,15 +62,15 @@
         self._lock = threading.Lock()
 
     def send(self, msg: Any) -> bool:
-        """Queue a message; return False when the link has ended.
+        """Queue a message; return False if the link has ended.
 
-        It never waits. A peer that is frozen but not yet known to be would
-        otherwise hold up whoever sends to it, and with it every other caller.
+        Sending never blocks. Otherwise a frozen peer that is not yet detected would
+        block its sender, and with it all other callers.
         """
         return self.send_frame(encode(msg))
 
     def send_frame(self, frame: bytes) -> bool:
-        """Queue an encoded message; one that goes to many is encoded once."""
+        """Queue an encoded message, so that a broadcast is encoded only once."""
         if self.ended.is_set():
             return False
         with self._lock:
@@ -88,11 +87,11 @@
         return True
 
     def close(self) -> None:
-        """End the link after what is queued has gone out."""
+        """End the link after all queued messages are sent."""
         asyncio.run_coroutine_threadsafe(self._close(), link_loop())
 
     def abort(self) -> None:
-        """End the link at once."""
+        """End the link immediately; queued messages are lost."""
         link_loop().call_soon_threadsafe(self._conn.transport.abort)
 
     async def _close(self) -> None:
@@ -108,7 +107,7 @@
         return frames
 
     async def run(self, handler: LinkHandler) -> None:
-        """Hand over every message until the link ends."""
+        """Pass each received message to the handler until the link ends."""
         writer = asyncio.create_task(self._write())
         try:
             async for frame in self._conn:
@@ -132,9 +131,9 @@
             self._conn.transport.abort()
 
     def _dispatch(self, handler: LinkHandler, frame: str | bytes) -> bool:
-        # A frame that cannot be read means that the two sides disagree on the
-        # protocol: everything after it is in doubt, so the link ends and its
-        # requests get their verdicts. It shows as link_refused in the logs.
+        # An undecodable frame means that the two sides disagree on the protocol, so
+        # later frames cannot be trusted either. The link ends, its requests get their
+        # verdicts, and the reason is logged as link_refused.
         is_text = isinstance(frame, str)
         result = decode(frame.encode() if isinstance(frame, str) else frame)
         if is_text or not isinstance(result, Success):
@@ -143,8 +142,8 @@
         try:
             handler.on_message(self, result.unwrap())
         except Exception as exc:
-            # The handler's state may be half changed; its peer learns of it by
-            # the end of the link instead of waiting for an answer.
+            # The state of the handler may be inconsistent. Ending the link informs the
+            # peer, which would otherwise wait for an answer.
             self._refuse(f"handler failed: {exc!r}")
             return False
         return True
@@ -164,7 +163,7 @@
 def open_link(
     host: str, port: int, secret: bytes, handler: LinkHandler, first_message: Any
 ) -> Result[Link, Exception]:
-    """Open a link, send ``first`` on it and read it from then on."""
+    """Open a link, send ``first_message`` and start to receive messages."""
     try:
         link = run_on_loop(_open(host, port, secret, handler))
     except (WebSocketException, OSError, TimeoutError) as exc:
@@ -194,14 +193,14 @@
 
 
 def _retain(task: asyncio.Task[None]) -> None:
-    # The loop itself holds tasks weakly; without this a link's reader could be
-    # collected in the middle, seen as a link that goes silent.
+    # The event loop has only weak references to tasks. Without this reference the
+    # reader of a link could be garbage-collected, and the link would stop receiving.
     _tasks.add(task)
     task.add_done_callback(_tasks.discard)
 
 
 class LinkServer:
-    """Accepts links of peers that prove the secret."""
+    """Accepts links from peers that authenticate with the fleet's secret."""
 
     def __init__(
         self, host: str, port: int, secret: bytes, accept: Callable[[Link], LinkHandler]
@@ -227,16 +226,16 @@
 
     @property
     def port(self) -> int:
-        """Return the TCP port that it listens on."""
+        """Return the TCP port of the listener."""
         port: int = next(iter(self._server.sockets)).getsockname()[1]
         return port
 
     def start(self) -> None:
-        """Accept links from now on."""
+        """Start to accept links."""
         run_on_loop(self._server.start_serving())
 
     def stop(self) -> None:
-        """Accept no more links; open ones go on."""
+        """Stop accepting links; open links are not affected."""
         link_loop().call_soon_threadsafe(self._server.close, False)
 
     def _authenticate(self, conn: ServerConnection, req: Request) -> Response | None:
--- a/src/persimmonhitch/wire/loop.py
+++ b/src/persimmonhitch/wire/loop.py
@@ -1,4 +1,4 @@
-"""The event loop that carries every link of this process, on one thread."""
+"""The event loop of all links of this process, on a separate thread."""
 
 import asyncio
 import threading
@@ -9,12 +9,12 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S: Final = 10.0
-"""Seconds for one call into the loop; opening a link has a shorter limit."""
+"""Timeout of one call into the loop; opening a link has a shorter timeout."""
 
 
 @cache
 def link_loop() -> asyncio.AbstractEventLoop:
-    """Return the loop, started at the first call."""
+    """Return the event loop; the first call starts it."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, name="links", daemon=True)
     thread.start()
@@ -22,8 +22,8 @@
 
 
 def run_on_loop(coro: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine on the loop and return its result.
+    """Run a coroutine on the event loop and return its result.
 
-    Never to be called on the loop's own thread, which would wait for itself.
+    Calling this on the thread of the event loop would deadlock.
     """
     return asyncio.run_coroutine_threadsafe(coro, link_loop()).result(CALL_TIMEOUT_S)
