--- a/src/persimmonhitch/direct/admit.py
+++ b/src/persimmonhitch/direct/admit.py
@@ -11,7 +11,7 @@
 
 from ..decide.dispatch import DispatchRequest
 from ..fleet.call import CallerHeaders, fingerprint
-from ..fleet.config import AccountSpec, CallKind, FleetConfig, Route
+from ..fleet.config import AccountSpec, FleetConfig, Route, RouteKind
 from ..fleet.routes import RouteTable
 from ..ids import Fingerprint, Service, Tokens
 from ..verdict import ErrorCode, Failure
@@ -125,7 +125,7 @@
 
 
 def _first_event_deadline(route: Route, arrived: float, deadline_at: float) -> float:
-    if route.kind is not CallKind.STREAM:
+    if route.kind is not RouteKind.STREAM:
         return deadline_at
     wait_s = max(
         MIN_EVENT_WAIT_S,
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -9,7 +9,7 @@
 
 from ..decide.poison import RECENT_START_S
 from ..decide.retries import RetryBudget
-from ..fleet.config import CallKind
+from ..fleet.config import RouteKind
 from ..fleet.upstream import UpstreamRecord
 from ..ids import Upstream
 from ..observe.logs import log
@@ -278,7 +278,7 @@
         A request whose stream has run for a while is no suspect. A missing head proves
         nothing, as it may be lost with the upstream.
         """
-        is_stream = request.admitted.route.kind is CallKind.STREAM
+        is_stream = request.admitted.route.kind is RouteKind.STREAM
         elapsed = 0.0 if request.head_at is None else self._clock() - request.head_at
         recent = not is_stream or elapsed <= RECENT_START_S
         self._poison.connection_lost(request.fingerprint, record, recent)
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -8,7 +8,7 @@
 
 from ..entry.answers import error_body
 from ..fleet.call import CallerHeaders
-from ..fleet.config import CallKind
+from ..fleet.config import RouteKind
 from ..ids import RequestId, new_request_id
 from ..observe.logs import log
 from ..observe.metrics import Metrics
@@ -126,7 +126,7 @@
         if not isinstance(result, Success):
             return self._fail(request, result.failure())
         reply: Reply = result.unwrap()
-        if request.admitted.route.kind is CallKind.STREAM and reply.status < 300:
+        if request.admitted.route.kind is RouteKind.STREAM and reply.status < 300:
             headers = wire.response_headers(reply.headers)
             request.reply = reply
             return Answer(reply.status, headers, _StreamBody(self, request))
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -368,7 +368,7 @@
         }
         for _ in range(len(controllers)):
             views = [_engine_view(c, in_use, now) for c in controllers]
-            cold_allowed = self._load_rate.may_start(spec.loads_per_second, now)
+            cold_allowed = self._load_rate.may_start(spec.cold_loads_per_s, now)
             self._update_missing(spec, missing, views, now)
             move = self._overdue_move(spec, missing, demand, views, cold_allowed)
             if move is None:
@@ -378,7 +378,7 @@
             if move is None:
                 return
             if move.cold:
-                self._load_rate.record_start(spec.loads_per_second, now)
+                self._load_rate.record_start(spec.cold_loads_per_s, now)
             self._start_load(by_name[move.upstream], move, demand)
 
     def _update_missing(
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -7,7 +7,7 @@
 from ..ids import Account, ConfigVersion, Model, Service, Tokens
 
 
-class CallKind(Enum):
+class RouteKind(Enum):
     """Whether requests of a route may be repeated, and how they are answered."""
 
     IDEMPOTENT = "idempotent"
@@ -37,7 +37,7 @@
     name: str
     host: str
     prefix: str
-    kind: CallKind
+    kind: RouteKind
     targets: tuple[Target, ...]
     timeout: float
     latency_target: float
@@ -50,7 +50,7 @@
     @property
     def repeatable(self) -> bool:
         """Return whether a request may be repeated after it may have run."""
-        return self.kind is CallKind.IDEMPOTENT
+        return self.kind is RouteKind.IDEMPOTENT
 
 
 @dataclass(frozen=True)
@@ -78,7 +78,7 @@
     kv_tokens: int
     memory_mb: float
     adapter_slots: int
-    loads_per_second: float
+    cold_loads_per_s: float
     """Cold loads that all engines together may start per second."""
     models: Mapping[Model, ModelSpec]
 
--- a/src/persimmonhitch/platform/config_format.py
+++ b/src/persimmonhitch/platform/config_format.py
@@ -8,11 +8,11 @@
 
 from ..fleet.config import (
     AccountSpec,
-    CallKind,
     EngineSpec,
     FleetConfig,
     ModelSpec,
     Route,
+    RouteKind,
     ServiceSpec,
     Target,
 )
@@ -21,9 +21,9 @@
 Body = Mapping[str, Any]
 
 ROUTE_KINDS: Final = {
-    "idempotent": CallKind.IDEMPOTENT,
-    "non_idempotent": CallKind.NON_IDEMPOTENT,
-    "streaming": CallKind.STREAM,
+    "idempotent": RouteKind.IDEMPOTENT,
+    "non_idempotent": RouteKind.NON_IDEMPOTENT,
+    "streaming": RouteKind.STREAM,
 }
 
 
@@ -58,7 +58,7 @@
         host=str(raw["hostname"]),
         prefix=str(raw["path_prefix"]),
         # Requests of an unknown kind are never repeated, since that may be unsafe.
-        kind=ROUTE_KINDS.get(raw.get("route_kind", ""), CallKind.NON_IDEMPOTENT),
+        kind=ROUTE_KINDS.get(raw.get("route_kind", ""), RouteKind.NON_IDEMPOTENT),
         targets=tuple(
             Target(Service(part["service"]), float(part["weight"])) for part in split
         ),
@@ -89,7 +89,7 @@
         kv_tokens=int(raw.get("kv_capacity") or 0),
         memory_mb=float(raw.get("weights_mb") or 0),
         adapter_slots=int(raw.get("adapter_slots") or 0),
-        loads_per_second=float(raw.get("loads_per_s") or 0),
+        cold_loads_per_s=float(raw.get("loads_per_s") or 0),
         models={model.name: model for model in models},
     )
 
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -170,7 +170,7 @@
             return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         revision = revision_of(old.version)
         path = f"{path_of(old.kind, old.name)}?revision={revision}"
-        return self._request("DELETE", path).map(lambda _answer: None)
+        return self._request("DELETE", path).map(lambda _reply: None)
 
     def watch(
         self, kind: Kind, after: Version, wait: float
--- a/src/persimmonhitch/store/era.py
+++ b/src/persimmonhitch/store/era.py
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._listeners: list[Callable[[Era], None]] = []
-        self._missing = self._known = False
+        self._has_gap = self._has_era = False
         self.current = Era(0)
 
     def on_change(self, listener: Callable[[Era], None]) -> None:
@@ -55,12 +55,12 @@
         """
         with self._lock:
             previous = self.current
-            had_era = self._known
+            had_era = self._has_era
             if era is None:
-                is_new_gap, self._missing = had_era and not self._missing, True
+                new_gap, self._has_gap = had_era and not self._has_gap, True
             else:
-                is_new_gap, self.current, self._known = False, max(previous, era), True
-        if is_new_gap:
+                new_gap, self.current, self._has_era = False, max(previous, era), True
+        if new_gap:
             log("store_era_missing", era=previous)
         if era is None or era == previous:
             return True
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -99,7 +99,7 @@
         """Time of the store's last reply to this process or to the one that pushes."""
         self.failed_at = -math.inf
         """Time of the last failed call, by this process or by the one that pushes."""
-        self._pushed_at = -math.inf
+        self._push_at = -math.inf
         self._needs_listing = False
         self._was_following = False
         self._stopping = threading.Event()
@@ -142,11 +142,11 @@
         after = listing.version
         self._apply_listing(listing)
         while not self._stopping.is_set() and not self.is_following():
-            outcome = self._store.watch(self._kind, after, self._duration_s)
-            if not isinstance(outcome, Success):
-                self._log_end(outcome.failure().error, outcome.failure().detail)
+            watched = self._store.watch(self._kind, after, self._duration_s)
+            if not isinstance(watched, Success):
+                self._log_end(watched.failure().error, watched.failure().detail)
                 return
-            changes = outcome.unwrap()
+            changes = watched.unwrap()
             self._apply_changes(after, changes, time.monotonic())
             after = changes.version
             if changes.events:
@@ -170,7 +170,7 @@
         """Return whether pushes of another process are fresh."""
         now = time.monotonic()
         is_fresh = (
-            now - self._pushed_at < PUSH_TTL_S
+            now - self._push_at < PUSH_TTL_S
             and now - self.contact_at < self._duration_s + CONTACT_MARGIN_S
         )
         if is_fresh != self._was_following:
@@ -195,7 +195,7 @@
             is_older_era = era_of(changes.version) < era_of(self.version)
             if is_older_era or not self.ready.is_set():
                 return
-            self._pushed_at = time.monotonic()
+            self._push_at = time.monotonic()
             if failed_at > self.failed_at:
                 self._record_failure(failed_at)
             if since > self.version or (not full and changes.version > self.version):
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -18,11 +18,11 @@
 from persimmonhitch.direct.upstream_limits import UpstreamLimits
 from persimmonhitch.fleet.config import (
     AccountSpec,
-    CallKind,
     EngineSpec,
     FleetConfig,
     ModelSpec,
     Route,
+    RouteKind,
     ServiceSpec,
     Target,
 )
@@ -178,12 +178,12 @@
 
 
 ROUTES = (
-    route("read", CallKind.IDEMPOTENT, LEDGER),
-    route("book", CallKind.NON_IDEMPOTENT, LEDGER),
-    route("open", CallKind.IDEMPOTENT, LEDGER, public=True),
-    route("brief", CallKind.IDEMPOTENT, LEDGER, timeout=0.3),
-    route("chat", CallKind.STREAM, LLM, max_attempts=1),
-    route("resume", CallKind.STREAM, LLM, resumable=True),
+    route("read", RouteKind.IDEMPOTENT, LEDGER),
+    route("book", RouteKind.NON_IDEMPOTENT, LEDGER),
+    route("open", RouteKind.IDEMPOTENT, LEDGER, public=True),
+    route("brief", RouteKind.IDEMPOTENT, LEDGER, timeout=0.3),
+    route("chat", RouteKind.STREAM, LLM, max_attempts=1),
+    route("resume", RouteKind.STREAM, LLM, resumable=True),
 )
 SPEC = ModelSpec(MODEL, 10.0, 8.0, 1.7, 0.6, 0, 0)
 ENGINE = EngineSpec(8, 100_000, 200.0, 2, 1.5, {MODEL: SPEC})
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -4,7 +4,7 @@
 from returns.result import Success
 
 from persimmonhitch.fleet.call import RateLimit
-from persimmonhitch.fleet.config import CallKind
+from persimmonhitch.fleet.config import RouteKind
 from persimmonhitch.fleet.routes import RouteTable
 from persimmonhitch.ids import Account, Adapter, Model, Service, Upstream
 from persimmonhitch.platform import headers
@@ -77,8 +77,8 @@
 def test_decodes_configuration():
     cfg = decode_config(CONFIG).unwrap()
     r1, r2 = cfg.routes
-    assert (r1.kind, r1.timeout, r1.latency_target) == (CallKind.STREAM, 5.0, 0.6)
-    assert r2.kind is CallKind.NON_IDEMPOTENT
+    assert (r1.kind, r1.timeout, r1.latency_target) == (RouteKind.STREAM, 5.0, 0.6)
+    assert r2.kind is RouteKind.NON_IDEMPOTENT
     assert cfg.services[Service("llm")].engine.models[Model("m1")].disk_load_s == 8.6
     assert cfg.keys == {"k1": Account("coop"), "k2": Account("coop")}
 
--- a/tests/test_store_pushes.py
+++ b/tests/test_store_pushes.py
@@ -145,10 +145,10 @@
 
 @pytest.fixture
 def pair():
-    made = Pair()
-    made.start()
-    yield made
-    made.stop()
+    new_pair = Pair()
+    new_pair.start()
+    yield new_pair
+    new_pair.stop()
 
 
 def test_follower_sees_all_changes_without_calls(pair):
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -27,7 +27,7 @@
 from persimmonhitch.web import WebServer
 
 A, B = Vm("a"), Vm("b")
-DURATION = 3.0
+LEASE_S = 3.0
 
 
 class Clock:
@@ -38,30 +38,30 @@
         return self.now
 
 
-class World:
+class StoreServer:
     """A stand-in store over HTTP and clients of several processes."""
 
     def __init__(self):
         self.state = StoreState()
-        self.server = WebServer(StoreApp(self.state), "127.0.0.1", 0, 8)
-        self.server.start()
+        self.web = WebServer(StoreApp(self.state), "127.0.0.1", 0, 8)
+        self.web.start()
         self.eras = []
 
     def client(self):
         self.eras.append(EraState())
-        url = f"http://127.0.0.1:{self.server.port}"
+        url = f"http://127.0.0.1:{self.web.port}"
         return StoreClient(url, 2.0, self.eras[-1])
 
 
 @pytest.fixture
-def world():
-    made = World()
-    yield made
-    made.server.close()
+def store():
+    new_store = StoreServer()
+    yield new_store
+    new_store.web.close()
 
 
-def put(world, name, **spec):
-    return world.state.create(Kind.ENTRY, name, spec).unwrap()
+def put(store, name, **spec):
+    return store.state.create(Kind.ENTRY, name, spec).unwrap()
 
 
 @pytest.mark.parametrize(("era", "revision"), [(0, 5), (1, 5), (7, 2**40)])
@@ -75,11 +75,11 @@
     ("fields", "era"),
     [({"store-era": "4"}, 4), ({}, None), ({"store-era": "x"}, None)],
 )
-def test_reads_era_of_response(fields, era):
+def test_reads_era_of_reply(fields, era):
     assert headers.read_era(fields) == era
 
 
-def test_response_of_older_era_is_rejected():
+def test_reply_of_older_era_is_rejected():
     """Guards against a delayed reply from before a restore that counts as current."""
     received = []
     eras = EraState()
@@ -89,15 +89,15 @@
     assert (eras.current, received) == (4, [4])
 
 
-def test_watch_from_version_of_older_era_expires(world):
+def test_watch_from_version_of_older_era_expires(store):
     """Guards against a view without changes that reuse revisions seen before."""
-    put(world, "old")
-    copy = world.state.copy()
-    put(world, "lost")
-    client = world.client()
+    put(store, "old")
+    copy = store.state.copy()
+    put(store, "lost")
+    client = store.client()
     before = client.list_all(Kind.ENTRY).unwrap()
-    world.state.restore(copy)
-    put(world, "new1"), put(world, "new2")
+    store.state.restore(copy)
+    put(store, "new1"), put(store, "new2")
     assert client.watch(Kind.ENTRY, before.version, 0.1).failure().error is (
         StoreError.EXPIRED
     )
@@ -106,56 +106,56 @@
     assert {obj.name for obj in after.items} == {"old", "new1", "new2"}
 
 
-def test_conditional_write_on_reused_revision_conflicts(world):
+def test_conditional_write_on_reused_revision_conflicts(store):
     """Guards against a write that matches a reused revision with other content."""
-    copy = world.state.copy()
-    put(world, "x", owner="a")
-    client = world.client()
+    copy = store.state.copy()
+    put(store, "x", owner="a")
+    client = store.client()
     old = client.get(Kind.ENTRY, "x").unwrap()
-    world.state.restore(copy)
-    put(world, "x", owner="b")
+    store.state.restore(copy)
+    put(store, "x", owner="b")
     client.list_all(Kind.ENTRY)
     assert client.update(old, {"owner": "c"}).failure().error is StoreError.CONFLICT
     assert client.delete(old).failure().error is StoreError.CONFLICT
     assert client.get(Kind.ENTRY, "x").unwrap().spec == {"owner": "b"}
 
 
-def test_objects_missing_in_copy_are_retained_for_rewrite(world, monkeypatch):
+def test_objects_missing_in_copy_are_retained_for_rewrite(store, monkeypatch):
     """Guards against the removal of live upstreams that a copy lacks."""
     monkeypatch.setattr(watcher_module, "REWRITE_DURATION_S", 1.0)
-    put(world, "kept")
-    copy = world.state.copy()
-    put(world, "back"), put(world, "gone")
+    put(store, "saved")
+    copy = store.state.copy()
+    put(store, "rewritten"), put(store, "lost")
     views = []
-    watch = Watcher(world.client(), Kind.ENTRY, views.append, duration_s=0.2)
-    watch.start()
+    watcher = Watcher(store.client(), Kind.ENTRY, views.append, duration_s=0.2)
+    watcher.start()
 
     def names():
         return set(views[-1].objects) if views else set()
 
-    wait_for(lambda: names() == {"kept", "back", "gone"}, "the first view")
-    world.state.restore(copy)
-    wait_for(lambda: era_of(watch.version) == world.state.era, "the new list")
-    assert names() == {"kept", "back", "gone"}
-    put(world, "back")
-    wait_for(lambda: names() == {"kept", "back"}, "the removal of the lost object")
-    watch.stop()
+    wait_for(lambda: names() == {"saved", "rewritten", "lost"}, "the first view")
+    store.state.restore(copy)
+    wait_for(lambda: era_of(watcher.version) == store.state.era, "the new list")
+    assert names() == {"saved", "rewritten", "lost"}
+    put(store, "rewritten")
+    wait_for(lambda: names() == {"saved", "rewritten"}, "the removal")
+    watcher.stop()
 
 
-def test_push_of_older_era_restores_no_object(world):
+def test_push_of_older_era_restores_no_object(store):
     """Guards against lost objects pushed by a parent that missed the restore."""
-    put(world, "x")
+    put(store, "x")
     views = []
-    watch = Watcher(world.client(), Kind.ENTRY, views.append, duration_s=0.2)
-    watch.start()
+    watcher = Watcher(store.client(), Kind.ENTRY, views.append, duration_s=0.2)
+    watcher.start()
     wait_for(lambda: views, "the first view")
-    world.state.restore(world.state.copy())
-    wait_for(lambda: era_of(watch.version) == 1, "the new list")
-    late = version_of(Era(0), 999)
-    obj = StoredObject(Kind.ENTRY, "lost", late, {})
+    store.state.restore(store.state.copy())
+    wait_for(lambda: era_of(watcher.version) == 1, "the new list")
+    stale = version_of(Era(0), 999)
+    obj = StoredObject(Kind.ENTRY, "lost", stale, {})
     event = watcher_module.Event(watcher_module.EventType.MODIFIED, obj)
-    watch.receive(Version(0), Changes(late, (event,)), time.monotonic(), 0.0, True)
-    watch.stop()
+    watcher.receive(Version(0), Changes(stale, (event,)), time.monotonic(), 0.0, True)
+    watcher.stop()
     assert set(views[-1].objects) == {"x"}
 
 
@@ -178,34 +178,34 @@
     assert not received[-1][0].draining
 
 
-def test_entry_rewrites_its_record_after_restore(world):
+def test_entry_rewrites_its_record_after_restore(store):
     """Guards against an entry unknown to its peers since the store lost its record."""
-    client = world.client()
+    client = store.client()
     registration = Registration(client, Kind.ENTRY, "e1")
-    world.eras[-1].on_change(lambda _era: registration.rewrite())
-    copy = world.state.copy()
+    store.eras[-1].on_change(lambda _era: registration.rewrite())
+    copy = store.state.copy()
     registration.start({"zone": "z1"})
     wait_for(registration.written.is_set, "the object")
-    world.state.restore(copy)
+    store.state.restore(copy)
     client.list_all(Kind.ENTRY)
     wait_for(
-        lambda: isinstance(world.state.get(Kind.ENTRY, "e1"), Success), "the object"
+        lambda: isinstance(store.state.get(Kind.ENTRY, "e1"), Success), "the object"
     )
 
 
 class LeaseKeepers:
     """Two processes that compete for the orders lease."""
 
-    def __init__(self, world):
+    def __init__(self, store):
         self.clock = Clock()
-        self.state = world.state
-        self.a, self.b = (self.make_keeper(world, vm) for vm in (A, B))
+        self.state = store.state
+        self.a, self.b = (self.make_keeper(store, vm) for vm in (A, B))
 
-    def make_keeper(self, world, vm):
+    def make_keeper(self, store, vm):
         run_id = Incarnation(f"i-{vm}")
-        client, eras = world.client(), world.eras[-1]
+        client, eras = store.client(), store.eras[-1]
         era = lambda: eras.current  # noqa: E731
-        keeper = LeaseKeeper(client, "orders", vm, run_id, DURATION, self.clock, era)
+        keeper = LeaseKeeper(client, "orders", vm, run_id, LEASE_S, self.clock, era)
         eras.on_change(lambda _era: keeper.store_restored())
         return keeper
 
@@ -219,9 +219,9 @@
         return copy
 
 
-def test_leader_takes_lease_again_above_its_last_epoch(world):
+def test_leader_takes_lease_again_above_its_last_epoch(store):
     """Guards against two leaders that give orders with the same epoch."""
-    keepers = LeaseKeepers(world)
+    keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.a.store_restored()
@@ -230,28 +230,28 @@
     assert keepers.a.epoch() > 2
 
 
-def test_previous_leader_named_by_copy_waits(world):
+def test_previous_leader_named_by_copy_waits(store):
     """Guards against orders of two leaders, one of them named by a restored copy."""
-    keepers = LeaseKeepers(world)
+    keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.b.step()
     assert keepers.b.epoch() is None
-    keepers.clock.now += DURATION / 2
+    keepers.clock.now += LEASE_S / 2
     keepers.b.step()
     assert keepers.b.epoch() is None
     # The first step only detects the new era.
     keepers.a.step()
     keepers.a.step()
     assert keepers.a.epoch() > 2
-    keepers.clock.now += DURATION - 0.2
+    keepers.clock.now += LEASE_S - 0.2
     keepers.b.step()
     assert keepers.b.epoch() is None
 
 
-def test_lease_missing_in_copy_belongs_to_last_leader(world):
+def test_lease_missing_in_copy_belongs_to_last_leader(store):
     """Guards against a second leader while the first has not detected the restore."""
-    keepers = LeaseKeepers(world)
+    keepers = LeaseKeepers(store)
     empty = keepers.state.copy()
     keepers.a.step()
     keepers.state.restore(empty)
@@ -263,21 +263,21 @@
     assert keepers.a.epoch() > 1
 
 
-def test_lease_is_taken_after_old_leader_expired(world):
+def test_lease_is_taken_after_old_leader_expired(store):
     """Guards against a fleet without a leader after one crashed in an outage."""
-    keepers = LeaseKeepers(world)
+    keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.b.step()
-    keepers.clock.now += DURATION + 0.1
+    keepers.clock.now += LEASE_S + 0.1
     keepers.b.step()
     assert keepers.b.epoch() is not None
     assert keepers.a.epoch() is None
 
 
-def test_leader_that_released_its_new_lease_does_not_retake_it(world):
+def test_leader_that_released_its_new_lease_does_not_retake_it(store):
     """Guards against a leader that takes a released lease back from its successor."""
-    keepers = LeaseKeepers(world)
+    keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
     keepers.a.store_restored()
@@ -291,16 +291,16 @@
     assert keepers.a.epoch() is None
 
 
-def test_new_process_takes_lease_above_epochs_lost_in_copy(world):
+def test_new_process_takes_lease_above_epochs_lost_in_copy(store):
     """Guards against two leaders that give orders with the same epoch."""
-    keepers = LeaseKeepers(world)
+    keepers = LeaseKeepers(store)
     keepers.a.step()
     copy = keepers.state.copy()
     keepers.a.release()
     keepers.b.step()
     lost = keepers.b.epoch()
     keepers.state.restore(copy)
-    new = keepers.make_keeper(world, A)
+    new = keepers.make_keeper(store, A)
     new.step()
     assert new.epoch() > lost
 
