--- a/tests/golden_session.py
+++ b/tests/golden_session.py
@@ -16,9 +16,9 @@
         self._path = FOLDER / f"{name}.txt"
         self._lines: list[str] = []
 
-    def add(self, *words: object) -> None:
+    def add(self, *parts: object) -> None:
         """Add one line."""
-        self._lines.append(" ".join(str(word) for word in words))
+        self._lines.append(" ".join(str(part) for part in parts))
 
     def add_reply(self, step: str, reply) -> None:
         """Add a reply: its status, and the code and verdict of an error."""
@@ -26,9 +26,9 @@
         if error is None:
             self.add(f"{step}:", reply.status)
             return
-        back = "" if error["retry_after_s"] is None else "come back"
-        words = [reply.status, error["code"], error["verdict"], back]
-        self.add(f"{step}:", *[word for word in words if word])
+        retry = "" if error["retry_after_s"] is None else "come back"
+        parts = [reply.status, error["code"], error["verdict"], retry]
+        self.add(f"{step}:", *[part for part in parts if part])
 
     def check(self) -> None:
         """Compare with the golden file."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -89,9 +89,9 @@
             return
         self._disconnect()
         self._entry = self._rng.choice(self._balancer.ready_entries())
-        limit = timeout_s + EXTRA_WAIT_S
+        read_timeout = timeout_s + EXTRA_WAIT_S
         self._conn = http.client.HTTPConnection(
-            "127.0.0.1", self._entry.port, timeout=limit
+            "127.0.0.1", self._entry.port, timeout=read_timeout
         )
 
     def _choose_key(self, account):
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -241,7 +241,7 @@
             # The request crossed the close of its connection or the exit of the entry.
             continue
         if any(
-            run.spoiled
+            run.answer_broken
             or evidence.faulted(run.upstream, run.start - QUIET_S, call.ended_at)
             for run in runs
         ):
--- a/tests/soak/inventory.py
+++ b/tests/soak/inventory.py
@@ -38,7 +38,7 @@
             adapters = self.models.get(model)
             return adapters is not None and (adapter is None or adapter in adapters)
 
-    def published(self):
+    def snapshot(self):
         """Return the inventory as the registration record and the report contain it."""
         with self._lock:
             self._apply_finished()
@@ -57,7 +57,7 @@
                 "stage": "colocated",
                 "busy": self.loading is not None,
                 "sequence": self.order_count,
-                **self.published(),
+                **self.snapshot(),
             }
 
     def _apply_finished(self):
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -64,7 +64,7 @@
         self._log(f"{fault} at {target} for {seconds:.2f} s")
 
         def step():
-            end_span = self._records.begin(fault, target)
+            end_span = self._records.open_span(fault, target)
             begin()
             self._ending.wait(seconds)
             end()
@@ -83,7 +83,7 @@
         return lambda: self._restart(entry)
 
     def _restart(self, entry):
-        end_span = self._records.begin("term", entry.name, planned=True)
+        end_span = self._records.open_span("term", entry.name, planned=True)
         if entry.is_alive() and not entry.stopping:
             entry.stop()
         self._await_ready(entry)
@@ -114,7 +114,7 @@
         self._log(f"kill at {entry.name}")
 
         def step():
-            end_span = self._records.begin("kill", entry.name)
+            end_span = self._records.open_span("kill", entry.name)
             entry.kill()
             time.sleep(RESTART_DELAY_S)
             self._await_ready(entry)
@@ -127,7 +127,7 @@
         self._log(f"pause at {entry.name} for {seconds:.2f} s")
 
         def step():
-            end_span = self._records.begin("pause", entry.name)
+            end_span = self._records.open_span("pause", entry.name)
             entry.pause(seconds)
             end_span()
 
@@ -207,7 +207,7 @@
         self._log(f"crash of {upstream.spec.name}, replacement after {seconds:.2f} s")
 
         def step():
-            self._records.begin("crash", upstream.spec.name)
+            self._records.open_span("crash", upstream.spec.name)
             self._platform.crash(upstream)
             time.sleep(seconds)
             self._replace(upstream)
@@ -221,7 +221,7 @@
         self._log(f"{upstream.spec.name} restarts under its name")
 
         def step():
-            end_span = self._records.begin("restart", upstream.spec.name)
+            end_span = self._records.open_span("restart", upstream.spec.name)
             self._platform.crash(upstream)
             time.sleep(0.1)
             self._replace(upstream, upstream.spec.name)
@@ -238,7 +238,7 @@
         def step():
             self._replace(upstream)
             self._platform.drain(upstream)
-            self._records.begin("drain", upstream.spec.name)
+            self._records.open_span("drain", upstream.spec.name)
 
         return step
 
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -64,19 +64,19 @@
 
     def _publish(self):
         result = self._state.get(Kind.FLEET, CONFIG_NAME)
-        old = result.unwrap() if isinstance(result, Success) else None
-        if old is None and result.failure().error is not StoreError.NOT_FOUND:
+        current = result.unwrap() if isinstance(result, Success) else None
+        if current is None and result.failure().error is not StoreError.NOT_FOUND:
             return False
-        if old is not None and old.spec["version"] > self.version:
+        if current is not None and current.spec["version"] > self.version:
             # The previous write succeeded but its answer was lost.
-            self._acknowledge(old.spec["version"])
+            self._acknowledge(current.spec["version"])
         version = self.version + 1
         self.sent_at[version] = time.monotonic()
         spec = self._spec(version)
-        if old is None:
+        if current is None:
             written = self._state.create(Kind.FLEET, CONFIG_NAME, spec)
         else:
-            written = self._state.update(old, spec)
+            written = self._state.update(current, spec)
         if isinstance(written, Success):
             self._acknowledge(version)
         return isinstance(written, Success)
@@ -84,12 +84,12 @@
     def republish(self):
         """Write the newest configuration again if the store has lost it."""
         with self._lock:
-            found = self._state.get(Kind.FLEET, CONFIG_NAME)
-            old = found.unwrap() if isinstance(found, Success) else None
-            if old is None:
+            result = self._state.get(Kind.FLEET, CONFIG_NAME)
+            current = result.unwrap() if isinstance(result, Success) else None
+            if current is None:
                 self._state.create(Kind.FLEET, CONFIG_NAME, self._spec(self.version))
-            elif old.spec["version"] < self.version:
-                self._state.update(old, self._spec(self.version))
+            elif current.spec["version"] < self.version:
+                self._state.update(current, self._spec(self.version))
 
     def _acknowledge(self, version):
         self.version = version
@@ -258,19 +258,19 @@
 
     def _expire_records(self, now):
         """Remove records of upstreams without a heartbeat for ``RECORD_TTL_S``."""
-        for name, at in list(self._written_at.items()):
-            if name not in self.upstreams and now - at > RECORD_TTL_S:
-                found = self.state.get(Kind.UPSTREAM, name)
-                if isinstance(found, Success):
-                    if not isinstance(self.state.delete(found.unwrap()), Success):
+        for name, written_at in list(self._written_at.items()):
+            if name not in self.upstreams and now - written_at > RECORD_TTL_S:
+                result = self.state.get(Kind.UPSTREAM, name)
+                if isinstance(result, Success):
+                    if not isinstance(self.state.delete(result.unwrap()), Success):
                         continue
                 del self._written_at[name]
 
     def _write_record(self, upstream, spec):
         name = upstream.spec.name
-        found = self.state.get(Kind.UPSTREAM, name)
-        if isinstance(found, Success):
-            return isinstance(self.state.update(found.unwrap(), spec), Success)
-        if found.failure().error is not StoreError.NOT_FOUND:
+        result = self.state.get(Kind.UPSTREAM, name)
+        if isinstance(result, Success):
+            return isinstance(self.state.update(result.unwrap(), spec), Success)
+        if result.failure().error is not StoreError.NOT_FOUND:
             return False
         return isinstance(self.state.create(Kind.UPSTREAM, name, spec), Success)
--- a/tests/soak/poison.py
+++ b/tests/soak/poison.py
@@ -47,7 +47,7 @@
 
     def crash(self, upstream):
         """Crash an upstream and start a replacement after a delay."""
-        self._records.begin("crash", upstream.spec.name)
+        self._records.open_span("crash", upstream.spec.name)
         self._platform.crash(upstream)
         threading.Thread(target=self._replace, args=(upstream,), daemon=True).start()
 
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -22,7 +22,7 @@
     deadline_ms: float | None
     start: float
     body: bytes = b""
-    spoiled: bool = False
+    answer_broken: bool = False
     """Whether an injected fault of the upstream broke the answer."""
 
 
@@ -82,7 +82,7 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
     started_at: float = field(default_factory=time.monotonic)
 
-    def begin(self, fault, target, planned=False):
+    def open_span(self, fault, target, planned=False):
         """Record the start of a fault; return a function that records its end."""
         item = (fault, target, planned, time.monotonic())
         key = id(item)
--- a/tests/soak/restores.py
+++ b/tests/soak/restores.py
@@ -41,7 +41,7 @@
     def _restore(self):
         copy, seconds = self._rng.choice(self._copies), self._rng.uniform(*OUTAGE_S)
         self._log(f"store down for {seconds:.2f} s, then restored from a copy")
-        end_span = self._records.begin("restore", "store")
+        end_span = self._records.open_span("restore", "store")
         faults = self._platform.state.faults
         faults.down = True
         time.sleep(seconds)
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -113,7 +113,7 @@
                 "sequence": int(time.monotonic() * 10),
                 "born": self.started_at_ms,
             }
-            return {**spec, **self.inventory.published()} if self.spec.models else spec
+            return {**spec, **self.inventory.snapshot()} if self.spec.models else spec
 
     # -- connections -------------------------------------------------------------
 
@@ -197,7 +197,7 @@
             return self._send(sock, refusal, **headers)
         run = self._record_run(req, request_id)
         if req.body.startswith(POISON_PREFIX):
-            run.spoiled = True
+            run.answer_broken = True
             self.on_poison(self)
             return False
         try:
@@ -243,14 +243,14 @@
             "X_Persimmonhitch_Request_Id": run.request_id,
         }
         if self._rng.random() < self.faults.fail:
-            run.spoiled = True
+            run.answer_broken = True
             return self._send(sock, 500, b"failed", **headers)
         if "x-persimmonhitch-model" in req.headers:
             return self._stream(run, sock)
         if not self._work_for(EVENT_INTERVAL_S * 2, sock):
             return False
         if self._rng.random() < self.faults.lose:
-            run.spoiled = True
+            run.answer_broken = True
             self._reset(sock)
             return False
         return self._send(sock, 200, answer_body(run.request_id), **headers)
@@ -267,7 +267,7 @@
             if not self._work_for(EVENT_INTERVAL_S, sock):
                 return False
             if self._rng.random() < self.faults.lose / EVENT_COUNT:
-                run.spoiled = True
+                run.answer_broken = True
                 self._reset(sock)
                 return False
             data = event_bytes(run.request_id, number)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES_WITH_COMMANDS, ids=lambda page: page.name)
-def test_commands_of_the_pages(page, operator_dir, capsys):
+def test_commands_of_pages_exit_as_documented(page, operator_dir, capsys):
     for block in COMMAND_BLOCK.findall(page.read_text()):
         for line in block.splitlines():
             expected = EXIT_CODE.search(line)
@@ -62,15 +62,15 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_links_between_pages_lead_somewhere(page):
+def test_links_between_pages_resolve(page):
     for target in re.findall(r"\]\(([^)#:]+?)(?:#\S*)?\)", page.read_text()):
         assert (page.parent / target).exists(), target
 
 
-def test_tables_of_settings_and_metrics_do_not_drift():
+def test_tables_of_settings_and_metrics_are_current():
     page = settings_tables.PAGE.read_text()
-    same = settings_tables.regenerate(page) == page
-    assert same, "run scripts/settings_tables and commit the page"
+    current = settings_tables.regenerate(page) == page
+    assert current, "run scripts/settings_tables and commit the page"
 
 
 def test_every_program_with_settings_has_its_table_and_example():
@@ -80,7 +80,7 @@
         assert (DOCS / "examples" / f"{program}.ini").exists()
 
 
-def test_examples_leave_no_mistake_unnamed(operator_dir):
+def test_unknown_key_in_an_example_is_rejected(operator_dir):
     text = (operator_dir / "entry.ini").read_text()
     (operator_dir / "bad.ini").write_text(text.replace("port = 8080", "prot = 8080"))
     assert run_command("persimmonhitch-entry --settings=bad.ini --check") == 2
@@ -94,7 +94,7 @@
     assert re.findall(r"(?:^|; )(\d) ", listed) == [str(int(code)) for code in ExitCode]
 
 
-def test_alerts_name_codes_events_and_metrics_that_exist():
+def test_alerts_name_known_codes_events_and_metrics():
     page = (DOCS / "OPERATIONS.md").read_text()
     alerts = page.split("## Alerts")[1]
     source = "".join(p.read_text() for p in (ROOT / "src").rglob("*.py"))
@@ -107,7 +107,7 @@
         assert name.removesuffix("_total") in shown, name
 
 
-def test_capacity_names_slopes_that_exist():
+def test_capacity_page_lists_all_slopes():
     for plugin in slopes.PLUGINS:
         import_module(f"persimmonhitch.slopes.{plugin}")
     page = (DOCS / "CAPACITY.md").read_text()
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -11,51 +11,51 @@
 )
 from soak.records import Call, Records, Run, Span
 
-SILENCED_AT = 100.0
-PATIENCE = 1.5
-ENDED_AT = SILENCED_AT + QUIET_S + 4.0
+MUTED_AT = 100.0
+TIMEOUT = 1.5
+ENDED_AT = MUTED_AT + QUIET_S + 4.0
 
 
 def _evidence(call):
     records = Records(calls=[call])
-    span = Span(CALLERS_MUTED, call.entry, False, SILENCED_AT, SILENCED_AT + 0.5)
+    span = Span(CALLERS_MUTED, call.entry, False, MUTED_AT, MUTED_AT + 0.5)
     records.spans.append(span)
     return Evidence(records, None, {}, frozenset())
 
 
 @pytest.mark.parametrize(
-    ("opened_at", "sent_at", "due"),
+    ("opened_at", "sent_at", "reported"),
     [
-        (SILENCED_AT - 5.0, SILENCED_AT - 0.1, False),
-        (SILENCED_AT - 5.0, SILENCED_AT + 0.01, False),
-        (SILENCED_AT + 0.01, SILENCED_AT + 0.01, True),
-        (SILENCED_AT + 0.01, SILENCED_AT + 2.0, True),
+        (MUTED_AT - 5.0, MUTED_AT - 0.1, False),
+        (MUTED_AT - 5.0, MUTED_AT + 0.01, False),
+        (MUTED_AT + 0.01, MUTED_AT + 0.01, True),
+        (MUTED_AT + 0.01, MUTED_AT + 2.0, True),
     ],
 )
-def test_only_silenced_connections_excuse_a_late_answer(opened_at, sent_at, due):
+def test_only_muted_connections_excuse_a_late_answer(opened_at, sent_at, reported):
     """A persistent connection may be muted just before a request is sent on it."""
-    call = Call("q1", "read", "/read/x", "e1", "large", PATIENCE, sent_at, 1, opened_at)
+    call = Call("q1", "read", "/read/x", "e1", "large", TIMEOUT, sent_at, 1, opened_at)
     call.ended_at = ENDED_AT
-    assert bool(list(_answered_in_time(_evidence(call)))) is due
+    assert bool(list(_answered_in_time(_evidence(call)))) is reported
 
 
 @pytest.mark.parametrize(
-    ("harmed", "after", "due"),
+    ("faulted_path", "delay", "reported"),
     [
         ("u1", 1.0 + SLACK_S, False),
         ("u2", 1.0 + SLACK_S, True),
         ("u1", 0.4, False),
     ],
 )
-def test_only_harmed_paths_excuse_a_call_that_comes_after_its_caller_left(
-    harmed, after, due
+def test_only_path_faults_excuse_a_run_after_the_caller_gave_up(
+    faulted_path, delay, reported
 ):
     """A fault on the path to the upstream may delay a request sent in time."""
-    call = Call("q1", "read", "/read/x", "e1", "large", PATIENCE, 100.0, 1, 100.0)
+    call = Call("q1", "read", "/read/x", "e1", "large", TIMEOUT, 100.0, 1, 100.0)
     call.gave_up_at = 100.1
     records = Records(calls=[call])
-    run = Run("q1", "u1", "s", "/read/x", "large", 0, False, None, 100.1 + after)
+    run = Run("q1", "u1", "s", "/read/x", "large", 0, False, None, 100.1 + delay)
     records.runs.append(run)
-    records.spans.append(Span("stall path", harmed, False, 99.0, 103.0))
+    records.spans.append(Span("stall path", faulted_path, False, 99.0, 103.0))
     evidence = Evidence(records, None, {}, frozenset())
-    assert bool(list(_no_run_after_giving_up(evidence))) is due
+    assert bool(list(_no_run_after_giving_up(evidence))) is reported
