--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -62,7 +62,7 @@
 
 
 class _ErrorTask(ErrorTask):  # type: ignore[misc]
-    """Answers requests that the server itself refuses in the application's format."""
+    """Answers, in the application's format, requests that the server itself refuses."""
 
     def execute(self) -> None:
         answer = self.channel.server.refusal(self.request.error.code)
--- a/src/persimmonhitch/wire/messages.py
+++ b/src/persimmonhitch/wire/messages.py
@@ -1,4 +1,7 @@
-"""Messages between entries, sidecars and the planner."""
+"""Messages between entries, sidecars and the planner.
+
+Fields are encoded by position, so their order must not change.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -21,10 +24,11 @@
 from .codec import message
 
 PROTOCOL: Final = 1
+"""Version of the link protocol; both sides must agree on it."""
 
 
 class Role(Enum):
-    """Which program speaks on a link."""
+    """The program that opened a link."""
 
     ENTRY = "entry"
     SIDECAR = "sidecar"
@@ -32,14 +36,14 @@
 
 
 class Priority(Enum):
-    """How urgent a request is."""
+    """Scheduling priority of a request."""
 
     INTERACTIVE = "interactive"
     BATCH = "batch"
 
 
 class UpstreamKind(Enum):
-    """What stands behind a sidecar."""
+    """The type of upstream that a sidecar serves."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -48,7 +52,7 @@
 @message(1)
 @dataclass(frozen=True)
 class Hello:
-    """First message of the side that opened the link."""
+    """First message of the side that opened the link: its identity and version."""
 
     protocol: int
     role: Role
@@ -61,7 +65,7 @@
 @message(2)
 @dataclass(frozen=True)
 class Welcome:
-    """First message of a sidecar: who it is and what it holds."""
+    """First message of a sidecar: its identity, its upstream and resident models."""
 
     protocol: int
     upstream: Upstream
@@ -79,10 +83,11 @@
 class Submit:
     """Run one attempt of a request.
 
-    ``deadline`` is seconds from the sending, since clocks of VMs differ.
-    ``incarnation`` names the life of the sidecar that may run it; another life
-    refuses, because it cannot know what its predecessor ran. ``giver`` is the VM
-    whose rate share pays, under that ``generation`` of the account's share record.
+    ``timeout_s`` counts from the time of sending, because the clocks of VMs differ.
+    ``incarnation`` is the run of the sidecar process that may execute the attempt. A
+    restarted sidecar refuses it, because the earlier run may have executed it.
+    ``lender`` is the VM whose rate share is charged, under ``share_generation`` of the
+    account's share record. ``weight`` is the account's share of a busy upstream.
     """
 
     request: RequestId
@@ -109,7 +114,7 @@
 @message(4)
 @dataclass(frozen=True)
 class Cancel:
-    """Stop an attempt whose caller has gone or whose time is up."""
+    """Stop an attempt whose caller disconnected or whose deadline passed."""
 
     request: RequestId
     attempt: int
@@ -118,7 +123,7 @@
 @message(5)
 @dataclass(frozen=True)
 class Tombstone:
-    """Never run this request if it arrives later; say whether it has run."""
+    """Request not to run a request that arrives later, and ask whether it has run."""
 
     request: RequestId
     incarnation: Incarnation
@@ -127,7 +132,7 @@
 @message(6)
 @dataclass(frozen=True)
 class TombstoneReply:
-    """Answer to ``Bury``: the verdict that now stays true."""
+    """Reply to ``Tombstone``: the final verdict on the request."""
 
     request: RequestId
     verdict: Verdict
@@ -147,7 +152,7 @@
 @message(8)
 @dataclass(frozen=True)
 class Chunk:
-    """Part of an answer's body; ``seq`` counts from 0 without gaps."""
+    """Part of the body of an answer; ``seq`` counts from 0 without gaps."""
 
     request: RequestId
     attempt: int
@@ -158,7 +163,7 @@
 @message(9)
 @dataclass(frozen=True)
 class End:
-    """The answer is whole; ``chunks`` of them were sent."""
+    """The answer is complete; ``chunk_count`` chunks were sent."""
 
     request: RequestId
     attempt: int
@@ -169,7 +174,7 @@
 @message(10)
 @dataclass(frozen=True)
 class Fail:
-    """The attempt ended without a whole answer."""
+    """The attempt ended without a complete answer."""
 
     request: RequestId
     attempt: int
@@ -179,12 +184,12 @@
     retry_after: float | None
 
     def failure(self) -> Failure:
-        """Return it as the failure that the caller is told."""
+        """Return the failure that is reported to the caller."""
         return Failure(self.code, self.reason, self.verdict, self.retry_after)
 
     @classmethod
     def from_failure(cls, request: RequestId, attempt: int, exc: Failure) -> "Fail":
-        """Return the message for a failure of one attempt."""
+        """Create the message for the failure of an attempt."""
         return cls(
             request, attempt, exc.code, exc.message, exc.verdict, exc.retry_after
         )
@@ -193,11 +198,12 @@
 @message(11)
 @dataclass(frozen=True)
 class LoadReport:
-    """Load of one upstream as its sidecar sees it.
+    """Load of one upstream, measured by its sidecar.
 
-    ``queued_tokens`` wait at the sidecar; ``token_rate`` is reserved tokens a
-    second that it serves when busy, 0 until it was seen busy; times are seconds,
-    ``first_token`` and ``token_gap`` at the 95th percentile of the last window.
+    ``queued`` and ``queued_tokens`` count requests that wait at the sidecar.
+    ``token_rate`` is the reserved tokens per second that the upstream serves when
+    busy, 0 until it has been busy. ``first_token_s`` and ``token_gap_s`` are 95th
+    percentiles of the last window.
     """
 
     upstream: Upstream
@@ -217,9 +223,10 @@
 @message(12)
 @dataclass(frozen=True)
 class Order:
-    """Order of the planner to a sidecar, fenced by the lease's epoch.
+    """Order of the planner to a sidecar, fenced by the epoch of the planner's lease.
 
-    ``memory`` is the GiB of a load, with its KV cache.
+    ``order`` is the id of the order, ``action`` a value of ``placement.Action``.
+    ``memory_gib`` is the memory that a load needs, including the KV cache.
     """
 
     order: str
@@ -234,7 +241,7 @@
 @message(13)
 @dataclass(frozen=True)
 class OrderDone:
-    """Final state of an order; ``error`` is empty when it was carried out."""
+    """Final state of an order; ``error`` is empty if the order was executed."""
 
     order: str
     epoch: Epoch
@@ -244,7 +251,7 @@
 @message(15)
 @dataclass(frozen=True)
 class FlowControl:
-    """Stop or go on reading an attempt's answer from the upstream."""
+    """Pause or resume reading the answer of an attempt from the upstream."""
 
     request: RequestId
     attempt: int
@@ -254,10 +261,10 @@
 @message(14)
 @dataclass(frozen=True)
 class Resume:
-    """Go on with an attempt whose link was lost, from chunk ``next_chunk``.
+    """Resume an attempt over a new link after link loss, from chunk ``next_chunk``.
 
-    A sidecar that never saw the request buries it and answers with ``Fail`` and
-    the verdict not_run; one that holds the answer sends it again.
+    A sidecar that never received the request tombstones it and answers with ``Fail``
+    and the verdict not_run. A sidecar that has the answer sends it again.
     """
 
     request: RequestId
--- a/src/persimmonhitch/wire/placement.py
+++ b/src/persimmonhitch/wire/placement.py
@@ -1,4 +1,4 @@
-"""Messages about the copies of models, between sidecars and the planner."""
+"""Messages between sidecars and the planner about the copies of models."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True)
 class Copy:
-    """A model, or an adapter on its base model, at one revision.
+    """A model, or an adapter with its base model, at one revision.
 
-    ``model`` is the base where ``adapter`` is given.
+    ``model`` is the base model if ``adapter`` is set.
     """
 
     model: Model
@@ -21,14 +21,14 @@
 
     @property
     def name(self) -> Model:
-        """Return the name that callers ask for."""
+        """Return the model name that callers use in requests."""
         return self.model if self.adapter is None else Model(self.adapter)
 
 
 class CopyState(Enum):
-    """Where a copy stands at its upstream.
+    """State of a copy at its upstream.
 
-    ``LINGERING`` copies are gone, but an order to load them may still arrive.
+    A ``LINGERING`` copy is unloaded, but an earlier order to load it may still arrive.
     """
 
     LOADING = "loading"
@@ -38,9 +38,9 @@
 
 
 class Action(Enum):
-    """What an order asks for, as it stands in ``Order.action``.
+    """Action of an order, the value of ``Order.action``.
 
-    ``FENCE`` changes nothing; it makes the sidecar refuse older epochs.
+    ``FENCE`` loads and unloads nothing; the sidecar refuses older epochs after it.
     """
 
     LOAD = "load"
@@ -49,28 +49,28 @@
 
 
 class OrderError(Enum):
-    """Why an order was not carried out, as it stands in ``OrderDone.error``."""
+    """Reason why an order was not executed, the value of ``OrderDone.error``."""
 
     STALE_EPOCH = "stale_epoch"
     STARTING = "starting"
-    """What the engine holds, or what it was ordered, is not known yet."""
+    """The copies or the earlier orders of the engine are not known yet."""
     NO_MEMORY = "no_memory"
     BUSY = "busy"
-    """Another order for the same copy is under way."""
+    """Another order for the same copy is in progress."""
     NO_BASE = "no_base"
     BASE_IN_USE = "base_in_use"
     NOT_LOADED = "not_held"
     BAD_MEMORY = "bad_memory"
     BAD_ACTION = "bad_action"
     REFUSED = "refused"
-    """The engine refused it."""
+    """The engine refused the order."""
     NO_ANSWER = "no_answer"
-    """The engine did not answer; it may carry the order out yet."""
+    """The engine did not answer; it may still execute the order."""
 
 
 @dataclass(frozen=True)
 class CopyStatus:
-    """One copy at an upstream; ``demand`` is tokens a second asked of it."""
+    """One copy at an upstream; ``demand`` is its requested tokens per second."""
 
     copy: Copy
     state: CopyState
@@ -81,7 +81,7 @@
 @message(40)
 @dataclass(frozen=True)
 class Inventory:
-    """What one upstream holds in its accelerator memory, in GiB."""
+    """The accelerator memory of one upstream and the copies in it."""
 
     upstream: Upstream
     vm: Vm
@@ -91,7 +91,7 @@
     capacity_gib: float
     free_gib: float
     accepts_loads: bool
-    """False while orders to load are refused after a start."""
+    """False after a start, while the sidecar refuses orders to load."""
     draining: bool
     copies: tuple[CopyStatus, ...]
 
--- a/tests/fake_mesh.py
+++ b/tests/fake_mesh.py
@@ -1,4 +1,4 @@
-"""Entries in one process whose messages arrive at once, unless they are cut."""
+"""A mesh of entries in one process with immediate delivery and network partitions."""
 
 import random
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 def region(vm):
-    """Return the region of a VM: the letters before its number."""
+    """Return the region of a VM: its name without the trailing digits."""
     return vm.rstrip("0123456789")
 
 
@@ -52,7 +52,7 @@
 
 
 class Entry:
-    """One entry, driven by ``Fleet.step``; its way to the store may be cut."""
+    """One entry, driven by ``Fleet.step``; its connection to the store can fail."""
 
     def __init__(self, fleet, vm):
         self.store = StoreProxy(fleet.store)
@@ -66,7 +66,7 @@
 
 
 class StoreProxy:
-    """The shared store, seen over a way that can be cut."""
+    """The shared store over a connection that can be disabled by ``offline``."""
 
     def __init__(self, store):
         self.store = store
@@ -101,12 +101,12 @@
         self.entries[vm].mesh.handlers[type(msg)](sender, msg)
 
     def thaw(self, vm):
-        """Let an entry run again; it first reads what lay in its sockets."""
+        """Resume a frozen entry; it first receives the messages queued meanwhile."""
         for sender, frame in self.frozen.pop(vm):
             self.deliver(vm, sender, frame)
 
     def step(self, seconds=1.0):
-        """Let each entry that is not frozen do what its threads do in a second."""
+        """Advance time; run the periodic work of each entry that is not frozen."""
         self.now += seconds
         for vm, entry in self.entries.items():
             if vm in self.frozen:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input from callers and from processes: a clear end, and the process lives."""
+"""Invalid input of callers and peers is rejected and does not end the process."""
 
 import time
 
@@ -96,8 +96,8 @@
 
 @pytest.mark.parametrize("frame", FRAMES.values(), ids=FRAMES.keys())
 def test_bad_frame_ends_only_its_link(ledger, frame):
-    """A peer of another version, or a faulty one, sends what cannot be read. Its
-    link ends; the sidecar and the links of the others go on.
+    """A faulty peer, or one of another version, sends an invalid frame. Its link must
+    end; the sidecar and the links of other peers must not be affected.
     """
     url = f"ws://127.0.0.1:{ledger.server.port}/link"
     headers = {auth.HEADER: auth.sign(SECRET.encode(), time.time())}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""One sidecar and an entry's side of its link in this process, cut in many ways."""
+"""Link failures between one sidecar and an entry, both in this process."""
 
 import json
 import threading
@@ -49,7 +49,7 @@
 
 @dataclass
 class Rig:
-    """A stand-in, its sidecar and a connection to it."""
+    """A simulated upstream, its sidecar and a connection to the sidecar."""
 
     app: object
     web: WebServer
@@ -58,16 +58,16 @@
     conn: SidecarConn
 
     def cut_link(self):
-        """Cut the link and open it again, as the pool does."""
+        """Abort the link and wait until the connection has noticed it."""
         self.conn.link.abort()
-        wait_for(lambda: self.conn.link is None, "the end of the link")
+        wait_for(lambda: self.conn.link is None, "the link to end")
 
     def relink(self):
         assert self.conn.connect(HELLO)
-        wait_for(self.conn.welcomed.is_set, "the welcome")
+        wait_for(self.conn.welcomed.is_set, "the welcome message")
 
     def restart(self):
-        """Put a new life of the sidecar in the place of this one."""
+        """Replace the sidecar's dispatcher by one of a new incarnation."""
         incarnation = new_incarnation()
         call = UpstreamCall(Address("127.0.0.1", self.web.port), UpstreamKind.SERVICE)
         meter = LoadMeter(8, adaptive=False)
@@ -159,7 +159,7 @@
 
 
 def start(rig, req):
-    """Run an attempt on a thread; return a call that waits for its frames."""
+    """Run an attempt on a thread; return a wait function and the list of frames."""
     frames = []
     sub = _submit(req, rig.conn, 1, time.monotonic(), 1)
     attempt = Attempt(rig.conn, sub, req)
@@ -174,12 +174,12 @@
 
 
 def test_booking_resumes_over_a_new_link(ledger):
-    """The link is cut while the ledger books a slot. The booking is made once and
-    the skipper gets its confirmation, late but whole.
+    """The link is lost while the service runs a request. The request must run once,
+    and its answer must arrive completely over the new link.
     """
     req = admitted("ledger")
     wait_for_frames, _ = start(ledger, req)
-    wait_for(lambda: ledger.app.runs, "the booking")
+    wait_for(lambda: ledger.app.runs, "the request to run")
     ledger.cut_link()
     ledger.relink()
     frames = wait_for_frames()
@@ -188,15 +188,15 @@
 
 
 def test_stream_resumes_without_a_gap(engine):
-    """The link is cut in the middle of a stream. The secretary's summary comes to
-    its end with no word lost or doubled.
+    """The link is lost in the middle of a stream. The stream must complete with no
+    chunk lost or repeated.
     """
     words = [f"w{number}" for number in range(20)]
     message = {"role": "user", "content": " ".join(words)}
     chat = {"model": "m", "messages": [message], "stream": True, "max_tokens": 20}
     req = admitted(body=json.dumps(chat).encode(), repeatable=True)
     wait_for_frames, frames = start(engine, req)
-    wait_for(lambda: len(frames) > 5, "a few words")
+    wait_for(lambda: len(frames) > 5, "a few chunks")
     engine.cut_link()
     engine.relink()
     received = wait_for_frames()
@@ -208,13 +208,13 @@
 
 
 def test_restarted_sidecar_does_not_answer_not_run(ledger):
-    """The sidecar dies while the ledger books and another takes its place. The
-    newcomer never saw the booking, yet it may have been made: saying not_run would
-    have the caller book a second barge.
+    """The sidecar restarts while the service runs a request. The new incarnation never
+    received the request, but it may have run: after a verdict of not_run the caller
+    would repeat it, and it would run twice.
     """
     req = admitted("ledger")
     wait_for_frames, _ = start(ledger, req)
-    wait_for(lambda: ledger.app.runs, "the booking")
+    wait_for(lambda: ledger.app.runs, "the request to run")
     ledger.cut_link()
     ledger.restart()
     ledger.relink()
@@ -228,9 +228,9 @@
 
 
 def test_lost_request_gets_a_tombstone(ledger):
-    """The link breaks just as a booking is sent and swallows it. Once the sidecar
-    has buried the id the caller hears not_run; the frame that turns up late after
-    all must not book.
+    """The link fails while a request is sent, and the request is lost. After the
+    sidecar has tombstoned its id, the verdict is not_run, and a delayed frame with
+    this id must not run.
     """
     req = admitted("ledger")
     sub = _submit(req, ledger.conn, 1, time.monotonic(), 1)
@@ -259,8 +259,8 @@
     ],
 )
 def test_refused_before_it_ran(ledger, change, code):
-    """An attempt meant for an earlier life of the sidecar, or one that came too
-    late, is refused and says truthfully that it did not run.
+    """An attempt for an earlier incarnation of the sidecar, or one past its deadline,
+    must be refused with the verdict not_run.
     """
     sub = replace(_submit(admitted("ledger"), ledger.conn, 1, 0.0, 1), **change)
     answer = ledger.conn.submit(sub).get(2.0)
@@ -270,12 +270,12 @@
 
 
 def test_same_attempt_twice_runs_once(ledger):
-    """A frame is delivered twice. The second one is refused with what is true of
-    the first, and the ledger sees one booking.
+    """A frame is delivered twice. The second must be refused with the verdict on the
+    first, and the service must get one request.
     """
     sub = _submit(admitted("ledger"), ledger.conn, 1, time.monotonic(), 1)
     first = ledger.conn.submit(sub)
-    wait_for(lambda: ledger.app.runs, "the booking")
+    wait_for(lambda: ledger.app.runs, "the request to run")
     second = ledger.conn.submit(sub)
     answer = second.get(2.0)
     assert isinstance(answer, Fail)
@@ -285,8 +285,8 @@
 
 
 def test_frames_of_other_attempts_are_dropped(ledger):
-    """Frames of an earlier attempt, or out of place, arrive among those of the
-    present one. The caller must not get a part of another answer.
+    """Frames of an earlier attempt, or out of order, arrive among those of the current
+    attempt. The caller must not get a part of another answer.
     """
     conn = SidecarConn(ledger.conn.info, b"", FEED)
     conn.load = UpstreamLoad()
@@ -309,8 +309,8 @@
 
 
 def test_slow_reader_pauses_only_its_own_answer(engine):
-    """A caller reads its long answer slowly while another's comes over the same
-    link. The other's must not wait, and the slow one's must not pile up.
+    """One caller reads a long answer slowly while another answer arrives over the same
+    link. The other answer must not be delayed, and the unread bytes must stay bounded.
     """
     words = "w" * 4000
     message = {"role": "user", "content": words}
@@ -322,7 +322,7 @@
     )
     slow = frames.frames()
     next(slow)
-    wait_for(lambda: engine.conn._exchanges[req.request][0]._stopped, "the stop")
+    wait_for(lambda: engine.conn._exchanges[req.request][0]._stopped, "the pause")
     short = {**chat, "messages": [{"role": "user", "content": "quick"}]}
     short["max_tokens"] = 3
     other = admitted(body=json.dumps(short).encode(), repeatable=True)
@@ -337,8 +337,8 @@
 
 
 def test_event_stream_of_a_plain_service_is_complete():
-    """A plain service answers with events of its own and no last event of an
-    engine. Its caller must get them, and not hear that the service was lost.
+    """An event stream of a plain service has no final event as engines send it. The
+    caller must get the complete stream and no error that the upstream was lost.
     """
 
     def events(environ, start_response):
@@ -353,6 +353,6 @@
 
 
 def test_wrong_secret_opens_no_link(ledger):
-    """A process without the fleet's secret asks for a link and gets none."""
+    """A process without the fleet's secret must not be able to open a link."""
     conn = SidecarConn(ledger.conn.info, b"wrong", FEED)
     assert not conn.connect(HELLO)
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -1,4 +1,4 @@
-"""Metrics and traces: names, bounds, and nothing secret in them."""
+"""Metrics and traces: names, limits, and absence of secrets."""
 
 import re
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole: every mistake is named at once."""
+"""Settings files are validated completely: all mistakes are reported at once."""
 
 from dataclasses import dataclass
 
--- a/tests/test_web_threads.py
+++ b/tests/test_web_threads.py
@@ -1,4 +1,4 @@
-"""Threads of the web server come as requests need them."""
+"""The web server starts its threads on demand."""
 
 import threading
 import urllib.request
@@ -12,7 +12,7 @@
 
 
 class BlockingApp:
-    """An application whose requests wait until they are let through."""
+    """An application whose requests block until ``released`` is set."""
 
     def __init__(self):
         self.running = 0
@@ -43,18 +43,18 @@
 
 
 def test_idle_server_has_no_request_threads(blocking):
-    """Dozens of entries that start together would hold thousands of idle threads."""
+    """Otherwise dozens of entries started together have thousands of idle threads."""
     _, server = blocking
     assert not server._server.task_dispatcher.threads
 
 
 def test_each_waiting_request_has_a_thread_up_to_the_limit(blocking):
-    """A request that waits behind another one misses its deadline unseen."""
+    """A request queued behind another would miss its deadline without a metric."""
     app, server = blocking
     calls = [threading.Thread(target=_call, args=(server,)) for _ in range(MAX_THREADS)]
     for call in calls:
         call.start()
-    wait_for(lambda: app.running == MAX_THREADS, "all requests to be inside")
+    wait_for(lambda: app.running == MAX_THREADS, "all requests to be running")
     assert len(server._server.task_dispatcher.threads) == MAX_THREADS
     app.released.set()
     for call in calls:
