--- a/src/persimmonhitch/fleet/call.py
+++ b/src/persimmonhitch/fleet/call.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A prompt prefix that several requests may share, and its length in tokens."""
+    """A part of a prompt that requests may share, and its length in tokens."""
 
     name: str
     tokens: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class ServerLoad:
-    """Numbers of running and of waiting requests of an upstream, and its slots."""
+    """Numbers of running requests, waiting requests and slots of an upstream."""
 
     running: int
     waiting: int
@@ -74,6 +74,7 @@
     has_signature: bool
     """Whether the reply is signed by the upstream that ran the request."""
     not_run: bool
+    """Whether the upstream states that it did not run the request."""
     request_id: RequestId | None
     instance: Upstream | None
     load: ServerLoad | None
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -28,7 +28,7 @@
 class Route:
     """Rules for requests to one host below one path prefix.
 
-    All times are in seconds. ``timeout`` is the longest time for a request,
+    All times are in seconds. ``timeout`` is the time limit of a request,
     ``latency_target`` the latency up to which an answer has its full value, and
     ``token_gap_target`` the longest acceptable gap between events of a stream.
     ``rank`` 0 is the most urgent.
@@ -57,8 +57,8 @@
 class ModelSpec:
     """Memory and load times of one model.
 
-    A cold load reads the weights from the weight store, a disk or memory load from
-    the cache of the VM.
+    A cold load reads the weights from the weight store. A disk or memory load reads
+    weights that are cached on the VM.
     """
 
     name: Model
@@ -76,6 +76,7 @@
 
     slots: int
     kv_tokens: int
+    """Capacity of the KV cache."""
     memory_mb: float
     adapter_slots: int
     cold_loads_per_s: float
@@ -95,7 +96,10 @@
 
 @dataclass(frozen=True)
 class AccountSpec:
-    """One client account; a rate of 0 means no limit."""
+    """One client account.
+
+    ``rate`` is in tokens per second, 0 for no limit, and ``burst`` in tokens.
+    """
 
     name: Account
     rank: int | None
@@ -118,4 +122,4 @@
 
 
 EMPTY_CONFIG = FleetConfig(ConfigVersion(0))
-"""Used until a configuration has been read."""
+"""Configuration in force until one has been read from the store."""
--- a/src/persimmonhitch/platform/headers.py
+++ b/src/persimmonhitch/platform/headers.py
@@ -18,6 +18,7 @@
 MAX_RANK: Final = 9
 """Least urgent rank that the priority header can express."""
 MISDIRECTED: Final = 421
+"""HTTP status with which an upstream rejects a request without running it."""
 KEEP_ALIVE_TIMEOUT: Final = re.compile(r"timeout=(\d+)")
 
 
@@ -45,7 +46,7 @@
 
 
 def read_caller(headers: Headers) -> CallerHeaders:
-    """Return the parsed headers of a caller; malformed ones count as absent."""
+    """Return the parsed headers of a caller's request; ignore malformed ones."""
     counts = _parse_token_counts(headers.get(names.TOKEN_COUNTS, ""))
     model, _, adapter = headers.get(names.MODEL, "").partition("/")
     timeout_ms = _parse_number(headers.get(names.DEADLINE))
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -38,9 +38,9 @@
     422: StoreError.INVALID,
 }
 WATCH_TIMEOUT_MARGIN_S: Final = 0.6
-"""Time after the end of a watch before its connection counts as dead. A reply takes
-milliseconds, and nothing else reveals an unresponsive connection."""
-RESTORED_DETAIL: Final = "the store was restored from an older copy"
+"""Time that a watch call may exceed its duration before its connection counts as dead.
+A reply takes milliseconds; only this timeout reveals an unresponsive connection."""
+RESTORED_DETAIL: Final = "store restored from an older copy"
 MAX_CONNECTIONS: Final = 16
 """Pooled connections: one watch per kind, the lease, and short calls."""
 
@@ -99,9 +99,7 @@
             return _failure(StoreError.UNAVAILABLE, repr(exc))
         era = read_era({k.lower(): v for k, v in reply.headers.items()})
         if not self._eras.observe(era):
-            return _failure(
-                StoreError.UNAVAILABLE, "the reply is of an older store era"
-            )
+            return _failure(StoreError.UNAVAILABLE, "reply of an older store era")
         if reply.status < 300 and isinstance(parsed, dict):
             return Success(_Reply(parsed, self._eras.current if era is None else era))
         error = STATUS_ERRORS.get(reply.status, StoreError.UNAVAILABLE)
@@ -112,7 +110,7 @@
         return self._decode_reply(kind, self._request("GET", path_of(kind, name)))
 
     def list_all(self, kind: Kind) -> Result[Listing, StoreFailure]:
-        """Return all objects of a kind, read page by page."""
+        """Return all objects of a kind; request them page by page."""
         items: list[StoredObject] = []
         query = ""
         first_era: Era | None = None
@@ -123,9 +121,7 @@
             reply: _Reply = result.unwrap()
             first_era = reply.era if first_era is None else first_era
             if reply.era != first_era:
-                return _failure(
-                    StoreError.EXPIRED, "the store was restored between two pages"
-                )
+                return _failure(StoreError.EXPIRED, "store restored between pages")
             try:
                 page, version, has_more = decode_page(kind, reply.body, reply.era)
             except (KeyError, TypeError, ValueError) as exc:
--- a/src/persimmonhitch/platform/upstream_format.py
+++ b/src/persimmonhitch/platform/upstream_format.py
@@ -10,7 +10,7 @@
 
 
 class InvalidUpstreamRecord(ValueError):
-    """A registration record of an upstream is malformed."""
+    """Error for a malformed registration record of an upstream."""
 
 
 def decode_upstream(name: str, body: Body) -> UpstreamRecord:
@@ -18,7 +18,7 @@
 
     Raises
     ------
-    UnreadableEntry
+    InvalidUpstreamRecord
         If a field is missing, of a wrong type, or has an unknown value.
     """
     state = body.get("state")
@@ -41,7 +41,7 @@
             slots=slots,
             draining=state == "draining",
             started_at_ms=int(body.get("born") or 0),
-            # The record's own sequence counts heartbeats, not orders.
+            # The sequence of a registration record counts heartbeats, not orders.
             inventory=decode_inventory(body, NOT_COUNTED) if "models" in body else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as exc:
@@ -99,7 +99,7 @@
     leader: Vm,
     epoch: Epoch,
 ) -> dict[str, Any]:
-    """Return the body of an order.
+    """Return the body of an order to load or unload a model or an adapter.
 
     The engine accepts the order only if its order count equals ``order_count``.
     """
--- a/src/persimmonhitch/store/era.py
+++ b/src/persimmonhitch/store/era.py
@@ -15,8 +15,8 @@
 """Number of restores of the store from an older copy; 0 if the store reports none."""
 
 REVISION_BITS: Final = 44
-"""Bits of a version for the revision; at a thousand writes per second they suffice for
-five centuries."""
+"""Bits of a version that contain the revision; they suffice for five centuries at a
+thousand writes per second."""
 
 
 def version_of(era: Era, revision: int) -> Version:
@@ -50,7 +50,7 @@
     def observe(self, era: Era | None) -> bool:
         """Record the era of a reply; return whether the reply is valid.
 
-        A reply of an older era is invalid. One without a readable era (``None``) is
+        A reply of an older era is invalid; a reply without a readable era (``None``) is
         valid.
         """
         with self._lock:
--- a/src/persimmonhitch/store/pushes.py
+++ b/src/persimmonhitch/store/pushes.py
@@ -1,4 +1,7 @@
-"""Relay of store changes to other processes (followers), which then need no watch."""
+"""Relay of watched store changes to other processes, which then need no watch.
+
+A process that relies on the pushes of another one is its follower.
+"""
 
 import json
 import math
@@ -15,7 +18,7 @@
 from .watcher import PUSH_TTL_S, Watcher
 
 PUSH_INTERVAL_S: Final = 0.4
-"""Maximum time between two pushes to followers, also if nothing has changed."""
+"""Interval of empty pushes while nothing changes; changes go with the next flush."""
 LIST_DURATION_S: Final = 1.0
 """Maximum duration of a list call, including its timeout."""
 FAILURE_REPORT_S: Final = 5.0
@@ -52,7 +55,7 @@
 
 
 def may_follow(max_staleness_s: float) -> bool:
-    """Return whether a follower applies each change within ``max_staleness_s``.
+    """Return whether followers receive each change within ``max_staleness_s``.
 
     If the process that pushes crashes, its followers notice after ``PUSH_TTL_S`` and
     then need the time of a list call.
@@ -67,7 +70,7 @@
     ----------
     send : callable
         Sends an encoded message to an entry.
-    note_era : callable
+    observe_era : callable
         Receives the era of a push; returns whether pushes of that era are valid.
     """
 
@@ -110,7 +113,7 @@
         watcher.receive(Version(msg.since), changes, contact_at, failed_at, full)
 
     def flush(self, followers: Iterable[Vm]) -> None:
-        """Push queued changes, with at least one push per ``PUSH_INTERVAL_S``."""
+        """Push queued changes, or an empty push after ``PUSH_INTERVAL_S``."""
         vms = tuple(followers)
         now = self._clock()
         for kind, watcher in self._watchers.items():
@@ -137,7 +140,7 @@
         since = pending[0][0] if pending else version
         for earlier, later in zip(pending, pending[1:], strict=False):
             if later[0] > earlier[1].version:
-                # Changes in between came from a list, without single events.
+                # The changes in between came from a list call, which has no events.
                 since = later[0]
         events = [event for _, changes in pending for event in changes.events]
         failed_s = now - watcher.failed_at
--- a/src/persimmonhitch/store/registration.py
+++ b/src/persimmonhitch/store/registration.py
@@ -12,7 +12,7 @@
 
 
 class Registration:
-    """Writes the record of this process and repeats failed writes.
+    """Writes the registration record of this process and retries failed writes.
 
     The record is written at the start and on each change, never as a heartbeat: in the
     largest fleet, the heartbeats of 5,500 processes would load the store more than all
@@ -32,12 +32,12 @@
         )
 
     def start(self, spec: Spec) -> None:
-        """Write the record, and write it again on each update."""
+        """Start the thread that writes the record."""
         self.update(spec)
         self._thread.start()
 
     def update(self, spec: Spec) -> None:
-        """Change the record."""
+        """Write a new content of the record."""
         self._desired = spec
         self._changed.set()
 
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -1,8 +1,8 @@
 """Watch of one kind of object: list once, then watch until the process stops.
 
-A process that receives pushes of another process's watch makes no calls to the store as
-long as they are fresh (it follows). Otherwise the watches of dozens of entries would be
-most of the store's load.
+A process may follow the watch of another process, which pushes all changes. It makes no
+calls to the store while pushes are recent: if dozens of entries made their own watches,
+these would be most of the store's load.
 """
 
 import math
@@ -34,15 +34,15 @@
 MAX_RETRY_S: Final = 5.0
 """Delay between attempts while the store is unavailable; doubled from min to max."""
 CONTACT_MARGIN_S: Final = 0.5
-"""Time after the end of a watch call without a reply at which the process that makes it
-counts as disconnected from the store."""
+"""Time beyond the duration of a watch call without a reply of the store after which the
+process that watches counts as disconnected from the store."""
 REWRITE_DURATION_S: Final = 2.5
-"""Time after the first list of a restored store in which writers rewrite their missing
-objects; upstreams need about two seconds."""
+"""Time for writers to rewrite objects that a restored store lacks, from the first list
+call on; upstreams need about two seconds."""
 PUSH_TTL_S: Final = 1.6
 """Time without a push after which this process makes its own watch."""
 POLL_INTERVAL_S: Final = 0.2
-"""Interval at which a follower checks whether pushes are fresh."""
+"""Interval at which a follower checks whether pushes still arrive."""
 
 ChangeListener = Callable[[Kind, Version, Changes], None]
 """Receives the kind, the version before the changes, and the changes."""
@@ -92,13 +92,13 @@
         """Delay of the next watch after changes, so that it returns several at once."""
         self._listener = listener
         self._on_change = on_change
-        """Called with all lists and changes, which the relay pushes to followers."""
+        """Receives each list and change, for the relay to followers."""
         self._lock = threading.RLock()
         self.version = Version(0)
         self.contact_at = 0.0
-        """Time of the store's last reply to this process or to the one that pushes."""
+        """Time of the store's last reply to this process or to the pushing process."""
         self.failed_at = -math.inf
-        """Time of the last failed call, by this process or by the one that pushes."""
+        """Time of the last failed call of this process or of the pushing process."""
         self._push_at = -math.inf
         self._needs_listing = False
         self._was_following = False
@@ -112,11 +112,11 @@
         )
 
     def start(self) -> None:
-        """Start to list and watch in a thread."""
+        """Start the thread that lists and watches."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop without waiting for the current watch call to end."""
+        """Stop the thread after its current watch call, without waiting for it."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -162,12 +162,12 @@
         self._on_failure()
 
     def request_listing(self) -> None:
-        """Request a new list, since the store was restored from an older copy."""
+        """List again, after a restore of the store from an older copy."""
         with self._lock:
             self._needs_listing = True
 
     def is_following(self) -> bool:
-        """Return whether pushes of another process are fresh."""
+        """Return whether recent pushes of another process replace the own watch."""
         now = time.monotonic()
         is_fresh = (
             now - self._push_at < PUSH_TTL_S
@@ -260,7 +260,7 @@
             obj = event.object
             current = objects.get(obj.name)
             if current is not None and current.version > obj.version:
-                # A push or a list has already delivered a newer version.
+                # A newer version has already arrived by a push, list or watch.
                 continue
             self._retained.pop(obj.name, None)
             if event.type is EventType.DELETED:
--- a/tests/test_store_pushes.py
+++ b/tests/test_store_pushes.py
@@ -152,7 +152,7 @@
 
 
 def test_follower_sees_all_changes_without_calls(pair):
-    """Guards against dozens of entries that each watch the store themselves."""
+    """Guards against the store load of dozens of entries with their own watches."""
     pair.wait_until_idle()
     calls = pair.child.client.calls
     for number in range(5):
@@ -195,7 +195,9 @@
 
 
 def test_follower_learns_of_store_failure_of_parent(pair):
-    """Guards against upstreams that count as removed since their records expired."""
+    """In an outage of the store, records of live upstreams expire. A follower that does
+    not know of the outage would count these upstreams as removed.
+    """
     pair.wait_until_idle()
     before = pair.child.failures
     pair.store.unreachable_from.add("parent")
