--- a/scripts/hop_cost.py
+++ b/scripts/hop_cost.py
@@ -25,7 +25,8 @@
 ROUNDS = 2
 TOKEN_INTERVAL_S = 0.024
 """Seconds a token. Streams start spread over the duration of one stream, so that
-requests arrive evenly: with 400 tokens, at the rate of an entry at full size."""
+requests arrive evenly; with 400 tokens, at the rate of one entry in a full-size
+fleet."""
 STREAM_COUNTS = (60,)
 TIMEOUT_S = 120.0
 
--- a/scripts/relay.py
+++ b/scripts/relay.py
@@ -44,7 +44,7 @@
 class Relay:
     """Forwards connections to a port, subject to injected faults.
 
-    ``delay`` is the seconds before each block of bytes. A stalled direction buffers its
+    ``delay`` is the seconds before each block of bytes. A stalled direction delays its
     bytes until ``resume``; a muted connection discards them.
     """
 
--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -38,6 +38,7 @@
         for name in adapters:
             self.models[Model(models[0])].add(Adapter(name))
         self.sequence = 0
+        """Number of executed orders."""
         self.loaded_at = 0.0
         self.loading = None
         self.over_capacity = []
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -95,6 +95,7 @@
         )
 
     def _choose_key(self, account):
+        """Return a key, and its account or ``REVOKED`` or ``UNKNOWN``."""
         draw = self._rng.random()
         revoked = sorted(self._operator.revoked_in)
         if draw < REVOKED_KEY_RATE and revoked:
@@ -150,6 +151,7 @@
         call.ended_at = time.monotonic()
 
     def _exchange(self, call, headers, abandons):
+        """Send a request and record its answer, or close the connection early."""
         if self._conn.sock is None:
             self._conn.connect()
             self._opened_at = time.monotonic()
@@ -182,6 +184,7 @@
 
 
 def _expected(call):
+    """Return the body that the upstream sends for a call."""
     if call.kind == "chat":
         numbers = range(1, EVENT_COUNT + 1)
         return b"".join(event_bytes(call.request_id, number) for number in numbers)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -18,7 +18,8 @@
 CLOSE_RACE_S = 0.2
 """Seconds in which a request may cross the close of its connection."""
 REGRESSION_SLACK_S = 0.25
-"""Seconds in which requests in flight may still see the previous configuration."""
+"""Seconds after an answer under a newer configuration in which the older one may
+still apply."""
 RATE_WINDOW_S, RATE_TOLERANCE, RATE_SLACK_TOKENS = 8.0, 1.1, 17_000
 """Sliding window for token rates; an account may exceed its rate by this factor and
 number of tokens."""
@@ -110,12 +111,14 @@
 
 
 def _executed_once(evidence):
+    """Yield bookings and chats that ran more than once."""
     for call in evidence.records.calls:
         if call.kind in ("book", "chat") and len(evidence.runs[call.request_id]) > 1:
             yield evidence.line(call)
 
 
 def _refused_not_executed(evidence):
+    """Yield bookings and chats that were refused although they ran."""
     for call in evidence.records.calls:
         if call.kind in ("book", "chat") and call.status in REFUSAL_STATUSES:
             if evidence.runs[call.request_id]:
@@ -123,6 +126,7 @@
 
 
 def _answers_correct(evidence):
+    """Yield answers with wrong content, and answers without a run."""
     for call in evidence.records.calls:
         if call.status == 200 and call.complete and not call.correct:
             yield evidence.line(call)
@@ -131,6 +135,7 @@
 
 
 def _accounts_match(evidence):
+    """Yield runs with a wrong account or deadline, or with the key of the caller."""
     for run in evidence.records.runs:
         call = evidence.calls.get(run.request_id)
         if call is None or run.has_key:
@@ -152,6 +157,7 @@
 
 
 def _keys_and_routes_current(evidence):
+    """Yield uses of revoked keys and old routes, and denials of valid ones."""
     operator = evidence.operator
     for call in evidence.records.calls:
         bound = _config_bound(evidence, call.entry, call.sent_at)
@@ -173,6 +179,7 @@
 
 
 def _ran_after_revoke(evidence, call, bound):
+    """Return whether a call ran over ``bound`` seconds after its key was revoked."""
     revoked_at = evidence.operator.acknowledged_at.get(call.revoked_in)
     if revoked_at is None or not evidence.runs[call.request_id]:
         return False
@@ -198,6 +205,7 @@
 
 
 def _draining_gets_no_work(evidence):
+    """Yield runs at an upstream after the time to notice its drain."""
     for run in evidence.records.runs:
         since = evidence.drained_at.get(run.upstream)
         call = evidence.calls.get(run.request_id)
@@ -209,6 +217,7 @@
 
 
 def _rates_enforced(evidence):
+    """Yield accounts that exceeded their token rate."""
     for account, (rate, burst) in RATES.items():
         if not rate:
             continue
@@ -250,6 +259,7 @@
 
 
 def _answered_in_time(evidence):
+    """Yield calls that were answered after their deadline or not at all."""
     for call in evidence.records.calls:
         duration = call.ended_at - call.sent_at
         if call.gave_up_at is None and duration > call.timeout_s + 0.5 + SLACK_S:
@@ -266,6 +276,7 @@
 
 
 def _no_run_after_giving_up(evidence):
+    """Yield calls that started to run after their caller had abandoned them."""
     for call in evidence.records.calls:
         if call.gave_up_at is None or not evidence.quiet(call.entry, call.gave_up_at):
             continue
@@ -327,7 +338,7 @@
         for begin in times:
             count = sum(begin <= other < begin + LIMIT_WINDOW_S for other in times)
             if begin + LIMIT_WINDOW_S > span.begin + QUIET_S and count > limit:
-                yield f"{span.upstream} takes {span.rate} a second, got {count}"
+                yield f"{span.upstream} accepts {span.rate} a second, got {count}"
                 break
 
 
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -8,6 +8,7 @@
 MEAN_GAP_S = 3.0
 """Mean seconds between two announcements."""
 DURATION_S = 5.0, 9.0
+"""Shortest and longest duration of a limit."""
 RATES_PER_S = (0.5, 1.0, 2.0, 4.0)
 
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -83,6 +83,7 @@
         return lambda: self._restart(entry)
 
     def _restart(self, entry):
+        """Stop an entry gracefully and wait until the supervisor has restarted it."""
         end_span = self._records.open_span("term", entry.name, planned=True)
         if entry.is_alive() and not entry.stopping:
             entry.stop()
@@ -134,6 +135,7 @@
         return step
 
     def _reload(self):
+        """Make an entry reread its settings."""
         entry = self._choose_entry()
         self._log(f"hup at {entry.name}")
         entry.signal(signal.SIGHUP)
@@ -149,6 +151,7 @@
         return self._path_fault(upstream.relay, "path", upstream.spec.name)
 
     def _path_fault(self, relay, path, target):
+        """Return a step with a random fault of the connections through a relay."""
         seconds = self._rng.uniform(0.5, 5.0)
         direction = self._rng.choice(list(Direction))
         delay = self._rng.uniform(0.02, 0.3)
@@ -187,6 +190,7 @@
     # -- upstreams ---------------------------------------------------------------
 
     def _choose_upstream(self, service=None):
+        """Return an upstream that does not drain; None if there are fewer than two."""
         candidates = [
             upstream
             for upstream in self._platform.upstreams.values()
--- a/tests/soak/platform.py
+++ b/tests/soak/platform.py
@@ -27,7 +27,7 @@
 
 
 def ledger_spec(name, number):
-    """Return the spec of a plain upstream."""
+    """Return the spec of an upstream without models."""
     return UpstreamSpec(name, LEDGER, ZONES[number % len(ZONES)], 6)
 
 
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -48,6 +48,7 @@
     code: str = ""
     """Error code in a refusal or failure of the entry."""
     complete: bool = False
+    """Whether the caller received the whole answer."""
     correct: bool = False
     """Whether the answer is the one that the upstream sent for this request."""
     retry_after: float | None = None
--- a/tests/soak/restores.py
+++ b/tests/soak/restores.py
@@ -9,6 +9,7 @@
 """Mean seconds between two restores; some are followed by a second one at once."""
 COPY_INTERVAL_S, MAX_COPIES = 0.5, 8
 OUTAGE_S = 0.2, 1.0
+"""Shortest and longest outage before a restore."""
 SECOND_RESTORE_RATE = 0.25
 
 
