--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -30,7 +30,7 @@
         path.write_text(text.replace(edit["old"], edit["new"]))
 
 
-def test_passes(tree: Path, test: str) -> bool:
+def passes(tree: Path, test: str) -> bool:
     """Return whether a test passes in a tree."""
     command = [sys.executable, "-m", "pytest", "-x", "-p", "no:cacheprovider", test]
     env = {**os.environ, "PYTHONPATH": str(tree / "src"), "UPDATE_GOLDEN": ""}
@@ -51,7 +51,7 @@
             else:
                 shutil.copy(source, tree / name)
         apply_edits(tree, case["edit"])
-        passed = test_passes(tree, case["test"])
+        passed = passes(tree, case["test"])
     verdict = "STILL PASSES" if passed else "fails"
     return f"{case['point']:>2} {verdict:12} {case['test']} without: {case['without']}"
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -18,7 +18,7 @@
 ABANDON_RATE = 0.04
 """Share of requests that are abandoned before the answer; bookings never are."""
 REVOKED_KEY_RATE = 0.04
-UNKNOWN_KEY = 0.01
+UNKNOWN_KEY_RATE = 0.01
 MEAN_PAUSE_S = 0.12
 """Mean seconds between two requests of a caller."""
 EXTRA_WAIT_S = 3.0
@@ -100,7 +100,7 @@
         revoked = sorted(self._operator.revoked_in)
         if draw < REVOKED_KEY_RATE and revoked:
             return self._rng.choice(revoked), REVOKED
-        if draw > 1 - UNKNOWN_KEY:
+        if draw > 1 - UNKNOWN_KEY_RATE:
             return "nobody's-key", UNKNOWN
         # The last key of the list is the next one to be revoked.
         return self._rng.choice(self._operator.keys[account][:2]), account
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("entry", ["entry-1", "entry-2"])
-def test_whole_answer(fleet, entry):
+def test_unstreamed_answer(fleet, entry):
     reply = fleet.chat(entry, "fretes", "urea quote", 4)
     assert reply.status == 200
     assert reply.json()["choices"][0]["message"]["content"] == "urea quote urea quote"
@@ -78,7 +78,7 @@
     assert error["request_id"] == reply.headers["X-Request-Id"]
 
 
-def test_models_are_those_of_the_plan(fleet):
+def test_models_list_matches_the_plan(fleet):
     reply = fleet.request("entry-1", "GET", "/v1/models", "fretes")
     assert [item["id"] for item in reply.json()["data"]] == ["tiny-chat"]
 
@@ -114,7 +114,7 @@
     wait_for(lambda: span_names() == expected, "four spans")
 
 
-ABSENT = """
+UNLOADED_MODEL = """
 [plan more]
 rate = 100
 burst = 500
@@ -131,7 +131,9 @@
 def test_ordinary_session(fleet):
     """One answer of each kind, compared with a golden file."""
     session = Session("ordinary")
-    fleet.apply_lists(ACCOUNTS + "[account ships]\nplan = more\n", PLANS + ABSENT)
+    fleet.apply_lists(
+        ACCOUNTS + "[account ships]\nplan = more\n", PLANS + UNLOADED_MODEL
+    )
     fleet.issue_key("ships")
     wait_for(
         lambda: fleet.chat("entry-1", "ships", "a", 1).status == 200, "the new account"
@@ -150,8 +152,8 @@
     record("5 MiB body", fleet.request("entry-1", "POST", slots, "fretes", body=big))
     record("more than the burst", fleet.chat("entry-1", "ships", "a", 4000))
     short = {"X-Request-Timeout": "1"}
-    absent = {"model": "tiny-absent", "headers": short}
-    record("model not loaded", fleet.chat("entry-1", "ships", "a", 1, **absent))
+    unloaded = {"model": "tiny-absent", "headers": short}
+    record("model not loaded", fleet.chat("entry-1", "ships", "a", 1, **unloaded))
     tight = {"X-Request-Timeout": "0.3"}
     record("too little time", fleet.chat("entry-1", "fretes", "a", 400, headers=tight))
     token = {"Idempotency-Key": "ordinary"}
