--- a/src/persimmonhitch/entry/admitted.py
+++ b/src/persimmonhitch/entry/admitted.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..ids import Account, ConfigVersion, RequestId, Tokens
-from ..limits.limiter import UNPAID, Reservation
+from ..limits.limiter import NO_RESERVATION, Reservation
 from ..verdict import ErrorCode, Failure
 from ..wire.messages import Priority
 from .calls import Call
@@ -34,4 +34,4 @@
     traceparent: str
     disconnected: Callable[[], bool]
     withdrawn: Callable[[], bool]
-    reservation: Reservation = UNPAID
+    reservation: Reservation = NO_RESERVATION
--- a/src/persimmonhitch/entry/forward.py
+++ b/src/persimmonhitch/entry/forward.py
@@ -224,6 +224,6 @@
         cost=req.cost,
         traceparent=req.traceparent,
         weight=req.weight,
-        lender=req.reservation.giver,
+        lender=req.reservation.lender,
         share_generation=req.reservation.generation,
     )
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -19,9 +19,9 @@
 from ..ids import Region, Vm, Zone, new_incarnation
 from ..kernel import Lifecycle
 from ..kernel.service import run_service
-from ..limits.keeper import RecordKeeper
 from ..limits.limiter import Limiter
 from ..limits.messages import ShareRevoked
+from ..limits.share_manager import ShareManager
 from ..observe.logs import announce, log
 from ..observe.metrics import Metrics
 from ..observe.traces import Traces
@@ -57,7 +57,7 @@
             Vm(cfg.vm), cfg.link_host, cfg.link_port, secret, self.hello, cfg.seeds
         )
         self.limiter = Limiter(Vm(cfg.vm), self.mesh)
-        self.shares = RecordKeeper(
+        self.shares = ShareManager(
             store,
             self.limiter,
             lambda: (peer.vm for peer in self.mesh.peers()),
@@ -123,7 +123,7 @@
 
     def _on_catalog(self, catalog: Catalog) -> None:
         self.limiter.update(catalog)
-        self.shares.kick()
+        self.shares.request_poll()
         self.metrics.config_version(catalog.version)
 
     def hello(self) -> Hello:
--- a/src/persimmonhitch/limits/account.py
+++ b/src/persimmonhitch/limits/account.py
@@ -19,24 +19,24 @@
     Borrow,
     Lend,
     Message,
-    PoolAsk,
     Pooled,
+    PoolRequest,
     PoolReturn,
     Queued,
     Refund,
 )
-from .pending import Ask, Charge, Credit, Lent, Waiter
+from .pending import Charge, Credit, GrantedLoan, PendingRequest, Waiter
 from .record import PARTS, ShareRecord
-from .share import KEPT_FACTOR, LOAN_LIFE, POOL_LIFE, Lease, Share
+from .share import DRIFT_FACTOR, LOAN_TTL_S, POOL_TTL_S, Lease, Share
 
-LOANS_KNOWN: Final = 20_000
+MAX_GRANTED_LOANS: Final = 20_000
 """Loans remembered for refunds; a refund of an older one is lost, never doubled."""
-LEAST_LIFE: Final = 0.1
+MIN_TTL_S: Final = 0.1
 """Seconds that a loan is asked to live at least: a pause of the interpreter."""
-ROUND_TRIPS: Final = 6.0
+TTL_ROUND_TRIPS: Final = 6.0
 """Round trips that a loan is asked to live. The giver cannot refill what is out, so
 a long life makes the burst smaller (docs/notes/rate-limits.md)."""
-EPSILON: Final = 1e-6
+EPSILON_TOKENS: Final = 1e-6
 """Tokens; below it a difference is a rounding error."""
 
 
@@ -59,23 +59,23 @@
         self._views: dict[Vm, HolderView] = {}
         self._queue: list[Waiter] = []
         self._credits: list[Credit] = []
-        self._asks: dict[LoanId, Ask] = {}
+        self._pending: dict[LoanId, PendingRequest] = {}
         self._charges: dict[Ticket, Charge] = {}
-        self._lent: OrderedDict[LoanId, Lent] = OrderedDict()
-        self._round_trip = LOAN_LIFE
-        self._busy_until = now
-        self._refill_at: float | None = None
+        self._granted: OrderedDict[LoanId, GrantedLoan] = OrderedDict()
+        self._round_trip_s = LOAN_TTL_S
+        self._active_until = now
+        self._retry_at: float | None = None
 
     # -- what the runtime calls ------------------------------------------------
 
     def reserve(
-        self, ticket: Ticket, tokens: Tokens, wait: float, now: float
+        self, ticket: Ticket, tokens: Tokens, timeout_s: float, now: float
     ) -> list[Action]:
         """Ask for a request's tokens; ``Admit`` or ``Refuse`` follows by ``wait``."""
         if tokens > self.share.plan.burst:
             return [Refuse(ticket, None)]
-        self._busy_until = now + lending.POOL_IDLE
-        self._queue.append(Waiter(tokens, now + wait, now, ticket))
+        self._active_until = now + lending.POOL_IDLE_S
+        self._queue.append(Waiter(tokens, now + timeout_s, now, ticket))
         return self.tick(now)
 
     def settle(self, ticket: Ticket, used: Tokens, now: float) -> list[Action]:
@@ -84,128 +84,128 @@
         if charge is None:
             return []
         unused = max(0.0, charge.total - used)
-        self.share.look(now)
+        self.share.advance(now)
         if self.share.in_use > 0:
-            self.share.bucket.credit(unused, charge.since, now)
+            self.share.bucket.credit(unused, charge.charged_at, now)
             return self.tick(now)
         actions: list[Action] = []
-        for giver, loan, tokens in charge.borrowed:
+        for lender, loan, tokens in charge.borrowed:
             part = min(unused, tokens)
             unused -= part
-            if part > EPSILON:
-                actions.append(Send(giver, Refund(self.account, loan, Tokens(part))))
+            if part > EPSILON_TOKENS:
+                actions.append(Send(lender, Refund(self.account, loan, Tokens(part))))
         return actions
 
     def receive(self, vm: Vm, msg: Message, now: float) -> list[Action]:
         """Take a message of another entry."""
-        self.share.look(now)
+        self.share.advance(now)
         match msg:
             case Borrow():
                 return self._on_borrow(vm, msg, now)
             case Queued():
-                ask = self._asks.get(msg.loan)
-                if ask is not None and ask.vm == vm:
-                    ask.queued = True
-                    self._heard(vm)
+                pending = self._pending.get(msg.loan)
+                if pending is not None and pending.vm == vm:
+                    pending.queued = True
+                    self._mark_responsive(vm)
                 return []
             case Lend():
                 return self._on_lend(vm, msg, now)
             case Refund():
                 self._on_refund(msg, now)
-            case PoolAsk():
-                return self._on_pool_ask(vm, msg, now)
+            case PoolRequest():
+                return self._on_pool_request(vm, msg, now)
             case Pooled():
-                self._on_pooled(vm, msg, now)
+                self._on_pool_reply(vm, msg, now)
             case PoolReturn():
-                self.share.take_back(msg.lease, msg.tokens, now)
+                self.share.end_lease(msg.lease_id, msg.tokens, now)
         return self.tick(now)
 
-    def found(self, record: ShareRecord, now: float) -> list[Action]:
+    def initialize(self, record: ShareRecord, now: float) -> list[Action]:
         """Take the first record that an account ever has, full at once."""
-        self.share.found(record, now)
-        return self.learn(record, now)
+        self.share.initialize(record, now)
+        return self.adopt(record, now)
 
-    def learn(self, record: ShareRecord, now: float) -> list[Action]:
+    def adopt(self, record: ShareRecord, now: float) -> list[Action]:
         """Take a share record, newer or not."""
-        self.share.look(now)
-        if self.share.learn(record, now):
-            self._renew_views()
+        self.share.advance(now)
+        if self.share.adopt(record, now):
+            self._update_views()
         return self.tick(now)
 
-    def confirm(self, record: ShareRecord, asked: float, now: float) -> list[Action]:
+    def confirm(self, record: ShareRecord, as_of: float, now: float) -> list[Action]:
         """Take a record asked for at ``asked``; it may settle a doubt."""
-        self.share.look(now)
-        if self.share.confirm(record, asked, now):
-            self._renew_views()
+        self.share.advance(now)
+        if self.share.confirm(record, as_of, now):
+            self._update_views()
         return self.tick(now)
 
     def set_plan(self, plan: PlanEntry, now: float) -> list[Action]:
         """Take a changed plan while requests wait."""
-        self.share.look(now)
+        self.share.advance(now)
         self.share.set_plan(plan, now)
         return self.tick(now)
 
-    def peer_lost(self, vm: Vm, now: float) -> list[Action]:
+    def peer_disconnected(self, vm: Vm, now: float) -> list[Action]:
         """Stop waiting for a peer whose connection ended."""
-        for ask in self._asks.values():
-            if ask.vm == vm:
-                ask.sent, ask.queued = float("-inf"), False
+        for pending in self._pending.values():
+            if pending.vm == vm:
+                pending.sent_at, pending.queued = float("-inf"), False
         view = self._views.get(vm)
         if view is not None and view.up:
-            view.silent(now)
+            view.mark_unresponsive(now)
         return self.tick(now)
 
-    def peer_found(self, vm: Vm, now: float) -> list[Action]:
+    def peer_connected(self, vm: Vm, now: float) -> list[Action]:
         """Use a peer whose connection is open again."""
-        self._heard(vm)
+        self._mark_responsive(vm)
         return self.tick(now)
 
     def stop_pooling(self, now: float) -> list[Action]:
         """Give all pooled shares back, for a stop of this process."""
-        self.share.look(now)
+        self.share.advance(now)
         return self._return_pool(now)
 
     def tick(self, now: float) -> list[Action]:
         """Do what is due: admit, refuse, ask, pool, give back."""
-        usable = self.share.look(now)
-        self._refill_at = None
-        self._expire_asks(now)
+        usable = self.share.advance(now)
+        self._retry_at = None
+        self._expire_pending(now)
         actions = self._expire_credits(now)
         if usable:
-            actions += self._serve(now)
-        actions += self._refuse_late(now)
+            actions += self._serve_queue(now)
+        actions += self._refuse_expired(now)
         if not usable:
             return actions
         if self._queue:
-            actions += self._get_tokens(now)
-        return actions + self._keep_pool(now) + self._probe(now)
+            actions += self._obtain_tokens(now)
+        return actions + self._maintain_pool(now) + self._probe_holders(now)
 
     def next_wake(self) -> float | None:
         """Return when ``tick`` is due, or None while nothing is."""
-        times = [waiter.deadline for waiter in self._queue]
-        if self.share.doubtful:
-            return min(times, default=None)
-        times += [credit.ends for credit in self._credits]
-        times += [
-            ask.sent + lending.ANSWER_TIMEOUT
-            for ask in self._asks.values()
-            if not ask.queued
+        due_times = [waiter.deadline for waiter in self._queue]
+        if self.share.unconfirmed:
+            return min(due_times, default=None)
+        due_times += [credit.expires_at for credit in self._credits]
+        due_times += [
+            pending.sent_at + lending.ANSWER_TIMEOUT_S
+            for pending in self._pending.values()
+            if not pending.queued
         ]
-        times += [self._renew_at(lease) for lease in self.share.pooled.values()]
-        if self.share.away is not None and self._queue:
-            times.append(self.share.away.ends)
-        if self._refill_at is not None:
-            times.append(self._refill_at)
-        return min(times, default=None)
-
-    def _renew_at(self, lease: Lease) -> float:
+        due_times += [self._renewal_time(lease) for lease in self.share.pooled.values()]
+        if self.share.lent is not None and self._queue:
+            due_times.append(self.share.lent.expires_at)
+        if self._retry_at is not None:
+            due_times.append(self._retry_at)
+        return min(due_times, default=None)
+
+    def _renewal_time(self, lease: Lease) -> float:
         view = self._views.get(lease.vm)
-        due = lease.ends - lending.RENEW_AT
-        if view is None or view.asked or not view.up or view.pool_again_at > due:
-            return lease.ends
+        due = lease.expires_at - lending.RENEW_BEFORE_S
+        if view is None or view.pending or not view.up or view.pool_retry_at > due:
+            return lease.expires_at
         return due
 
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Return the number of requests that wait here."""
         return len(self._queue)
 
@@ -213,31 +213,31 @@
 
     def _on_borrow(self, vm: Vm, msg: Borrow, now: float) -> list[Action]:
         # A second copy of a message must not take the tokens a second time.
-        if msg.loan in self._lent or any(w.loan == msg.loan for w in self._queue):
+        if msg.loan in self._granted or any(w.loan == msg.loan for w in self._queue):
             return []
-        deadline = now + msg.wait
+        deadline = now + msg.timeout_s
         waiter = Waiter(
-            msg.tokens, deadline, now, peer=vm, loan=msg.loan, life=msg.life
+            msg.tokens, deadline, now, peer=vm, loan=msg.loan, ttl_s=msg.ttl_s
         )
-        if msg.tokens <= 0 or self.share.doubtful or self.share.parts == 0:
+        if msg.tokens <= 0 or self.share.unconfirmed or self.share.parts == 0:
             return [self._refusal(waiter, 0.0, now)]
-        if self._pooled_at() is not None and not msg.insist:
+        if self._pooling_holder() is not None and not msg.force:
             return [self._refusal(waiter, 0.0, now)]
-        self._busy_until = now + lending.POOL_IDLE
+        self._active_until = now + lending.POOL_IDLE_S
         self._queue.append(waiter)
         actions = self.tick(now)
         if waiter in self._queue:
             actions.append(Send(vm, Queued(self.account, msg.loan)))
         return actions
 
-    def _pooled_at(self) -> Vm | None:
+    def _pooling_holder(self) -> Vm | None:
         # While the holder that has this share does not answer, requests wait here:
         # the lease ends soon, and then this VM can serve them itself.
-        away = self.share.away
-        if away is None:
+        lease = self.share.lent
+        if lease is None:
             return None
-        view = self._views.get(away.vm)
-        return away.vm if view is not None and view.up else None
+        view = self._views.get(lease.vm)
+        return lease.vm if view is not None and view.up else None
 
     def _refusal(self, waiter: Waiter, retry_after: float, now: float) -> Action:
         return self._answer(waiter, 0.0, retry_after, now)
@@ -251,9 +251,9 @@
             self.account,
             waiter.loan,
             Tokens(tokens),
-            now - waiter.arrived,
+            now - waiter.arrived_at,
             retry_after,
-            self._pooled_at(),
+            self._pooling_holder(),
             generation,
         )
         return Send(waiter.peer, msg)
@@ -261,317 +261,317 @@
     def _lend(self, waiter: Waiter, now: float) -> Action | None:
         # The debit comes before the message: a lost message loses tokens and
         # never makes them.
-        until = now + min(waiter.life, LOAN_LIFE) * KEPT_FACTOR
-        loan = self.share.bucket.lend(waiter.tokens, now, until)
+        expires_at = now + min(waiter.ttl_s, LOAN_TTL_S) * DRIFT_FACTOR
+        loan = self.share.bucket.lend(waiter.tokens, now, expires_at)
         if loan is None:
             return None
-        self._lent[waiter.loan] = Lent(loan, waiter.tokens)
-        if len(self._lent) > LOANS_KNOWN:
-            self._lent.popitem(last=False)
+        self._granted[waiter.loan] = GrantedLoan(loan, waiter.tokens)
+        if len(self._granted) > MAX_GRANTED_LOANS:
+            self._granted.popitem(last=False)
         return self._answer(waiter, waiter.tokens, 0.0, now)
 
     def _on_refund(self, msg: Refund, now: float) -> None:
-        lent = self._lent.pop(msg.loan, None)
-        if lent is not None:
-            self.share.bucket.repay(lent.loan, min(lent.tokens, msg.tokens), now)
+        granted = self._granted.pop(msg.loan, None)
+        if granted is not None:
+            self.share.bucket.repay(granted.loan, min(granted.tokens, msg.tokens), now)
 
-    def _on_pool_ask(self, vm: Vm, msg: PoolAsk, now: float) -> list[Action]:
+    def _on_pool_request(self, vm: Vm, msg: PoolRequest, now: float) -> list[Action]:
         share = self.share
-        if msg.lease is not None:
+        if msg.lease_id is not None:
             # A peer that cannot reach the home holder waits here: the share has to
             # come back, or that peer would be refused however little it sends.
-            waited_for = any(w.peer is not None for w in self._queue)
-            kept = not waited_for and share.extend(vm, msg.lease, now)
-            return [self._pooled(vm, msg.ask, msg.lease, 0.0, kept, now)]
-        lease = self._new_loan()
+            peer_waiting = any(w.peer is not None for w in self._queue)
+            ok = not peer_waiting and share.extend(vm, msg.lease_id, now)
+            return [self._pool_reply(vm, msg.request_id, msg.lease_id, 0.0, ok, now)]
+        lease_id = self._new_loan()
         tokens = None
-        if lending.home(share.record.holders(), self.vm, self._views) != self.vm:
-            tokens = share.hand_over(vm, lease, now)
-        answer = self._pooled(
-            vm, msg.ask, lease, tokens or 0.0, tokens is not None, now
+        if lending.home_holder(share.record.holders(), self.vm, self._views) != self.vm:
+            tokens = share.lease_to(vm, lease_id, now)
+        answer = self._pool_reply(
+            vm, msg.request_id, lease_id, tokens or 0.0, tokens is not None, now
         )
         return [answer, *self.tick(now)]
 
-    def _pooled(
-        self, vm: Vm, ask: LoanId, lease: LoanId, tokens: float, kept: bool, now: float
+    def _pool_reply(
+        self, vm: Vm, req: LoanId, lease: LoanId, tokens: float, ok: bool, now: float
     ) -> Action:
-        away = self.share.away
-        parts = away.parts if kept and away is not None else 0
-        life = POOL_LIFE
-        if not kept and away is not None:
-            life = max(0.0, away.ends - now)
+        lent = self.share.lent
+        parts = lent.parts if ok and lent is not None else 0
+        ttl_s = POOL_TTL_S
+        if not ok and lent is not None:
+            ttl_s = max(0.0, lent.expires_at - now)
         generation = self.share.record.generation
-        msg = Pooled(self.account, ask, lease, parts, Tokens(tokens), life, generation)
+        msg = Pooled(self.account, req, lease, parts, Tokens(tokens), ttl_s, generation)
         return Send(vm, msg)
 
     # -- the borrower's side ---------------------------------------------------
 
-    def _heard(self, vm: Vm) -> None:
+    def _mark_responsive(self, vm: Vm) -> None:
         view = self._views.get(vm)
         if view is not None:
-            view.answered()
+            view.mark_responsive()
 
-    def _take_ask(self, vm: Vm, loan: LoanId) -> Ask | None:
+    def _pop_pending(self, vm: Vm, request_id: LoanId) -> PendingRequest | None:
         # An answer to an ask that was given up, or its second copy, is dropped:
         # its tokens are lost, where taking them could make some.
-        ask = self._asks.get(loan)
-        if ask is None or ask.vm != vm:
+        pending = self._pending.get(request_id)
+        if pending is None or pending.vm != vm:
             return None
-        del self._asks[loan]
-        self._heard(vm)
+        del self._pending[request_id]
+        self._mark_responsive(vm)
         view = self._views.get(vm)
         if view is not None:
-            view.asked = False
-        return ask
+            view.pending = False
+        return pending
 
     def _on_lend(self, vm: Vm, msg: Lend, now: float) -> list[Action]:
-        ask = self._take_ask(vm, msg.loan)
-        if ask is None:
+        pending = self._pop_pending(vm, msg.loan)
+        if pending is None:
             return []
-        waiter = ask.waiter
+        waiter = pending.waiter
         if waiter is None:
             return self.tick(now)
-        waiter.asked = False
-        trip = now - ask.sent - msg.queued
-        self._round_trip += (trip - self._round_trip) / 8
+        waiter.borrowing = False
+        round_trip_s = now - pending.sent_at - msg.queued_s
+        self._round_trip_s += (round_trip_s - self._round_trip_s) / 8
         if msg.tokens > 0:
-            ends = ask.sent + msg.queued + ask.life
-            self._credits.append(Credit(vm, msg.loan, msg.generation, msg.tokens, ends))
+            end = pending.sent_at + msg.queued_s + pending.ttl_s
+            self._credits.append(Credit(vm, msg.loan, msg.generation, msg.tokens, end))
         elif waiter in self._queue:
-            waiter.target = msg.pooled_at
+            waiter.holder = msg.pooled_at
             if msg.retry_after > 0:
                 self._queue.remove(waiter)
                 return [Refuse(waiter.ticket, msg.retry_after), *self.tick(now)]
             if msg.pooled_at is None:
-                self._not_a_holder(vm, now)
+                self._back_off(vm, now)
         return self.tick(now)
 
-    def _not_a_holder(self, vm: Vm, now: float) -> None:
+    def _back_off(self, vm: Vm, now: float) -> None:
         # It answers but cannot lend; asking it again at once would do so for ever.
         view = self._views.get(vm)
         if view is not None:
-            view.silent(now)
+            view.mark_unresponsive(now)
 
     def _expire_credits(self, now: float) -> list[Action]:
-        late = [credit for credit in self._credits if credit.ends <= now]
-        self._credits = [credit for credit in self._credits if credit.ends > now]
+        expired = [credit for credit in self._credits if credit.expires_at <= now]
+        self._credits = [credit for credit in self._credits if credit.expires_at > now]
         return [
-            Send(c.giver, Refund(self.account, c.loan, Tokens(c.tokens)))
-            for c in late
-            if c.tokens > EPSILON
+            Send(c.lender, Refund(self.account, c.loan, Tokens(c.tokens)))
+            for c in expired
+            if c.tokens > EPSILON_TOKENS
         ]
 
-    def _expire_asks(self, now: float) -> None:
-        late = [
+    def _expire_pending(self, now: float) -> None:
+        expired = [
             loan
-            for loan, ask in self._asks.items()
-            if not ask.queued and ask.sent + lending.ANSWER_TIMEOUT <= now
+            for loan, pending in self._pending.items()
+            if not pending.queued and pending.sent_at + lending.ANSWER_TIMEOUT_S <= now
         ]
-        for loan in late:
-            ask = self._asks.pop(loan)
-            if ask.waiter is not None:
-                ask.waiter.asked, ask.waiter.target = False, None
-                ask.waiter.insist = True
-            view = self._views.get(ask.vm)
+        for loan in expired:
+            pending = self._pending.pop(loan)
+            if pending.waiter is not None:
+                pending.waiter.borrowing, pending.waiter.holder = False, None
+                pending.waiter.force = True
+            view = self._views.get(pending.vm)
             if view is None:
                 continue
-            view.asked = False
+            view.pending = False
             if view.up or view.probe_at <= now:
-                view.silent(now)
+                view.mark_unresponsive(now)
 
     # -- the queue -------------------------------------------------------------
 
-    def _have(self) -> float:
+    def _available(self) -> float:
         return self.share.bucket.level + sum(c.tokens for c in self._credits)
 
-    def _home(self) -> Vm | None:
+    def _home_holder(self) -> Vm | None:
         order = self.share.record.holders()
-        return lending.home(order, self.vm, self._views)
+        return lending.home_holder(order, self.vm, self._views)
 
-    def _serve(self, now: float) -> list[Action]:
+    def _serve_queue(self, now: float) -> list[Action]:
         # At the home holder strictly in order, or small requests would starve a
         # large one; elsewhere each request has an ask of its own.
         actions: list[Action] = []
-        strict = self._home() == self.vm
+        in_order = self._home_holder() == self.vm
         for waiter in list(self._queue):
             if waiter.peer is None:
                 action = self._admit(waiter, now)
             else:
                 action = self._lend(waiter, now)
             if action is None:
-                if strict:
+                if in_order:
                     break
                 continue
             self._queue.remove(waiter)
-            user = waiter.peer or self.vm
-            self.demand[user] = self.demand.get(user, 0.0) + waiter.tokens
+            consumer = waiter.peer or self.vm
+            self.demand[consumer] = self.demand.get(consumer, 0.0) + waiter.tokens
             actions.append(action)
         return actions
 
     def _admit(self, waiter: Waiter, now: float) -> Action | None:
-        if self._have() + EPSILON < waiter.tokens:
+        if self._available() + EPSILON_TOKENS < waiter.tokens:
             return None
         charge = Charge(waiter.tokens, now)
-        giver, generation = self.vm, self.share.record.generation
-        left = waiter.tokens
-        for credit in sorted(self._credits, key=lambda c: c.ends):
-            part = min(left, credit.tokens)
+        lender, generation = self.vm, self.share.record.generation
+        remaining = waiter.tokens
+        for credit in sorted(self._credits, key=lambda c: c.expires_at):
+            part = min(remaining, credit.tokens)
             if part <= 0:
                 continue
             credit.tokens -= part
-            left -= part
-            charge.borrowed.append((credit.giver, credit.loan, part))
-            giver, generation = credit.giver, credit.generation
-        if left > 0:
-            self.share.bucket.spend(min(left, self.share.bucket.level), now)
-        self._credits = [c for c in self._credits if c.tokens > EPSILON]
+            remaining -= part
+            charge.borrowed.append((credit.lender, credit.loan, part))
+            lender, generation = credit.lender, credit.generation
+        if remaining > 0:
+            self.share.bucket.spend(min(remaining, self.share.bucket.level), now)
+        self._credits = [c for c in self._credits if c.tokens > EPSILON_TOKENS]
         self._charges[waiter.ticket] = charge
-        return Admit(waiter.ticket, giver, generation)
+        return Admit(waiter.ticket, lender, generation)
 
-    def _refuse_late(self, now: float) -> list[Action]:
-        late = [waiter for waiter in self._queue if waiter.deadline <= now]
+    def _refuse_expired(self, now: float) -> list[Action]:
+        expired = [waiter for waiter in self._queue if waiter.deadline <= now]
         rate = self.share.plan.rate
         return [
-            self._drop(waiter, lending.time_to_fill(waiter.tokens, rate), now)
-            for waiter in late
+            self._refuse(waiter, lending.time_to_fill(waiter.tokens, rate), now)
+            for waiter in expired
         ]
 
-    def _drop(self, waiter: Waiter, retry_after: float, now: float) -> Action:
+    def _refuse(self, waiter: Waiter, retry_after: float, now: float) -> Action:
         self._queue.remove(waiter)
         if waiter.peer is not None:
-            return self._refusal(waiter, max(retry_after, EPSILON), now)
+            return self._refusal(waiter, max(retry_after, EPSILON_TOKENS), now)
         return Refuse(waiter.ticket, retry_after)
 
     # -- getting tokens --------------------------------------------------------
 
-    def _get_tokens(self, now: float) -> list[Action]:
-        if self._home() == self.vm or any(w.peer for w in self._queue):
-            return self._give_up_hopeless(now)
-        return self._ask_home(now)
+    def _obtain_tokens(self, now: float) -> list[Action]:
+        if self._home_holder() == self.vm or any(w.peer for w in self._queue):
+            return self._refuse_unattainable(now)
+        return self._borrow_from_home(now)
 
-    def _ask_home(self, now: float) -> list[Action]:
+    def _borrow_from_home(self, now: float) -> list[Action]:
         if not self.share.record.parts:  # not read yet
             return []
-        first = self._home()
-        if first is None:
+        home = self._home_holder()
+        if home is None:
             return self._wait_for_probe(now)
-        have = self._have()
+        available = self._available()
         actions: list[Action] = []
         for waiter in self._queue:
-            need = waiter.tokens - have
-            have = max(0.0, have - waiter.tokens)
-            if need > EPSILON and not waiter.asked:
-                actions.append(self._borrow(waiter, need, first, now))
+            shortage = waiter.tokens - available
+            available = max(0.0, available - waiter.tokens)
+            if shortage > EPSILON_TOKENS and not waiter.borrowing:
+                actions.append(self._borrow(waiter, shortage, home, now))
         return actions
 
     def _wait_for_probe(self, now: float) -> list[Action]:
         # No holder answers. The next probe may find one, and a request that can
         # wait for it does; the others are told when it is.
         probe_at = min(view.probe_at for view in self._views.values())
-        self._refill_at = max(probe_at, now + lending.ANSWER_TIMEOUT / 10)
-        pause = max(probe_at - now, 0.0) + lending.ANSWER_TIMEOUT
-        late = [w for w in self._queue if w.deadline <= now + pause]
-        return [self._drop(waiter, pause, now) for waiter in late]
-
-    def _borrow(self, waiter: Waiter, tokens: float, first: Vm, now: float) -> Action:
-        vm, waiter.target, waiter.asked = waiter.target or first, None, True
-        loan, wait = self._new_loan(), waiter.deadline - now
-        life = min(LOAN_LIFE, max(LEAST_LIFE, ROUND_TRIPS * self._round_trip))
-        self._asks[loan] = Ask(vm, now, waiter, life)
+        self._retry_at = max(probe_at, now + lending.ANSWER_TIMEOUT_S / 10)
+        delay = max(probe_at - now, 0.0) + lending.ANSWER_TIMEOUT_S
+        expiring = [w for w in self._queue if w.deadline <= now + delay]
+        return [self._refuse(waiter, delay, now) for waiter in expiring]
+
+    def _borrow(self, waiter: Waiter, tokens: float, home: Vm, now: float) -> Action:
+        vm, waiter.holder, waiter.borrowing = waiter.holder or home, None, True
+        loan, timeout = self._new_loan(), waiter.deadline - now
+        ttl = min(LOAN_TTL_S, max(MIN_TTL_S, TTL_ROUND_TRIPS * self._round_trip_s))
+        self._pending[loan] = PendingRequest(vm, now, waiter, ttl)
         return Send(
-            vm, Borrow(self.account, loan, Tokens(tokens), wait, life, waiter.insist)
+            vm, Borrow(self.account, loan, Tokens(tokens), timeout, ttl, waiter.force)
         )
 
-    def _give_up_hopeless(self, now: float) -> list[Action]:
+    def _refuse_unattainable(self, now: float) -> list[Action]:
         share = self.share
-        open_views = {v: w for v, w in self._views.items() if v not in share.pooled}
-        most = share.in_use + lending.poolable(open_views, now)
-        if share.away is not None:
-            most += min(share.parts, share.away.parts)
-        fraction = most / PARTS
+        unpooled = {v: w for v, w in self._views.items() if v not in share.pooled}
+        max_parts = share.in_use + lending.poolable_parts(unpooled, now)
+        if share.lent is not None:
+            max_parts += min(share.parts, share.lent.parts)
+        fraction = max_parts / PARTS
         rate = share.plan.rate * fraction
-        room = share.plan.burst * (most - share.in_use) / PARTS
-        needs = [(w.tokens, w.deadline - now) for w in self._queue]
-        verdicts = lending.hopeless(needs, self._have() + room, rate)
-        pairs = list(zip(list(self._queue), verdicts, strict=True))
+        poolable = share.plan.burst * (max_parts - share.in_use) / PARTS
+        requests = [(w.tokens, w.deadline - now) for w in self._queue]
+        waits = lending.excess_waits(requests, self._available() + poolable, rate)
+        pairs = list(zip(list(self._queue), waits, strict=True))
         actions = [
-            self._drop(waiter, seconds, now)
+            self._refuse(waiter, seconds, now)
             for waiter, seconds in pairs
             if seconds is not None
         ]
         # A request given up may have held back others that can go.
         if actions:
-            actions += self._serve(now)
+            actions += self._serve_queue(now)
         if self._queue:
-            shortage = self._queue[0].tokens - self._have()
+            shortage = self._queue[0].tokens - self._available()
             seconds = lending.time_to_fill(shortage, share.bucket.rate)
             if seconds < float("inf"):
-                self._refill_at = now + seconds + EPSILON
+                self._retry_at = now + seconds + EPSILON_TOKENS
         return actions
 
     # -- the pool --------------------------------------------------------------
 
-    def _keep_pool(self, now: float) -> list[Action]:
+    def _maintain_pool(self, now: float) -> list[Action]:
         share = self.share
-        pooler = self._home() == self.vm and share.parts > 0
-        if share.pooled and (not pooler or now > self._busy_until):
+        can_pool = self._home_holder() == self.vm and share.parts > 0
+        if share.pooled and (not can_pool or now > self._active_until):
             return self._return_pool(now)
-        if not pooler:
+        if not can_pool:
             return []
-        low = share.bucket.level < lending.POOL_BELOW * share.bucket.cap
-        wanted = bool(share.pooled) or low or bool(self._queue)
-        if not wanted or now > self._busy_until:
+        is_low = share.bucket.level < lending.POOL_THRESHOLD * share.bucket.cap
+        wanted = bool(share.pooled) or is_low or bool(self._queue)
+        if not wanted or now > self._active_until:
             return []
         actions: list[Action] = []
         for vm, view in self._views.items():
-            if not view.up or view.asked or view.pool_again_at > now:
+            if not view.up or view.pending or view.pool_retry_at > now:
                 continue
             lease = share.pooled.get(vm)
-            if lease is None or self._renew_at(lease) <= now:
-                known = None if lease is None else lease.lease
-                actions.append(self._ask_pool(vm, view, known, now))
+            if lease is None or self._renewal_time(lease) <= now:
+                lease_id = None if lease is None else lease.id
+                actions.append(self._request_pool(vm, view, lease_id, now))
         return actions
 
-    def _ask_pool(
-        self, vm: Vm, view: HolderView, lease: LoanId | None, now: float
+    def _request_pool(
+        self, vm: Vm, view: HolderView, lease_id: LoanId | None, now: float
     ) -> Action:
-        ask = self._new_loan()
-        view.asked = True
-        self._asks[ask] = Ask(vm, now)
-        return Send(vm, PoolAsk(self.account, ask, lease))
+        request_id = self._new_loan()
+        view.pending = True
+        self._pending[request_id] = PendingRequest(vm, now)
+        return Send(vm, PoolRequest(self.account, request_id, lease_id))
 
-    def _on_pooled(self, vm: Vm, msg: Pooled, now: float) -> None:
-        ask = self._take_ask(vm, msg.ask)
+    def _on_pool_reply(self, vm: Vm, msg: Pooled, now: float) -> None:
+        pending = self._pop_pending(vm, msg.request_id)
         view = self._views.get(vm)
-        if ask is None or view is None:
+        if pending is None or view is None:
             return
         if msg.parts == 0:
-            view.pool_again_at = now + msg.life
+            view.pool_retry_at = now + msg.ttl_s
             return
-        lease = Lease(vm, msg.lease, msg.parts, ask.sent + msg.life)
+        lease = Lease(vm, msg.lease_id, msg.parts, pending.sent_at + msg.ttl_s)
         self.share.pool(lease, msg.tokens, msg.generation, now)
 
     def _return_pool(self, now: float) -> list[Action]:
         actions: list[Action] = []
         for vm in list(self.share.pooled):
-            lease, tokens = self.share.give_back(vm, now)
-            msg = PoolReturn(self.account, lease, Tokens(tokens))
+            lease_id, tokens = self.share.unpool(vm, now)
+            msg = PoolReturn(self.account, lease_id, Tokens(tokens))
             actions.append(Send(vm, msg))
         return actions
 
-    def _probe(self, now: float) -> list[Action]:
-        if now > self._busy_until:
+    def _probe_holders(self, now: float) -> list[Action]:
+        if now > self._active_until:
             return []
         actions: list[Action] = []
-        for vm in lending.to_probe(self._views, now):
+        for vm in lending.due_for_probe(self._views, now):
             loan = self._new_loan()
-            self._views[vm].asked = True
-            self._asks[loan] = Ask(vm, now)
+            self._views[vm].pending = True
+            self._pending[loan] = PendingRequest(vm, now)
             msg = Borrow(self.account, loan, Tokens(0.0), 0.0, 0.0, False)
             actions.append(Send(vm, msg))
         return actions
 
-    def _renew_views(self) -> None:
+    def _update_views(self) -> None:
         record = self.share.record
         views: dict[Vm, HolderView] = {}
         for vm, parts in record.parts.items():
--- a/src/persimmonhitch/limits/actions.py
+++ b/src/persimmonhitch/limits/actions.py
@@ -23,7 +23,7 @@
     """The request has its tokens, from ``giver`` under a record's generation."""
 
     ticket: Ticket
-    giver: Vm
+    lender: Vm
     generation: int
 
 
--- a/src/persimmonhitch/limits/bucket.py
+++ b/src/persimmonhitch/limits/bucket.py
@@ -18,12 +18,12 @@
 from dataclasses import dataclass
 from typing import Final
 
-MARKS: Final = 128
+MAX_MARKS: Final = 128
 """Marks of low headroom kept; more are merged, on the side of crediting less."""
 
 
 @dataclass
-class _Mark:
+class _HeadroomMark:
     """The lowest headroom from the previous mark's time up to ``time``."""
 
     time: float
@@ -34,7 +34,7 @@
 class Loan:
     """Tokens that somebody else may spend up to ``until``."""
 
-    until: float
+    expires_at: float
     tokens: float
 
 
@@ -45,39 +45,39 @@
         self.rate = rate
         self.cap = cap
         self.level = 0.0
-        self._now = now
-        self._out = 0.0
+        self._updated_at = now
+        self._lent = 0.0
         self._loans: list[Loan] = []
-        self._marks: list[_Mark] = [_Mark(now, cap)]
+        self._marks: list[_HeadroomMark] = [_HeadroomMark(now, cap)]
 
     @property
     def headroom(self) -> float:
         """Return the room for refills: the cap less the level and loans still out."""
-        return self.cap - self.level - self._out
+        return self.cap - self.level - self._lent
 
     def advance(self, now: float) -> None:
         """Refill up to ``now``; loans that end on the way make room from there on."""
-        while self._loans and self._loans[0].until <= now:
+        while self._loans and self._loans[0].expires_at <= now:
             loan = self._loans.pop(0)
-            self._refill(loan.until)
-            self._out -= loan.tokens
+            self._refill(loan.expires_at)
+            self._lent -= loan.tokens
         if not self._loans:
-            self._out = 0.0
+            self._lent = 0.0
         self._refill(now)
 
     def _refill(self, now: float) -> None:
-        passed = max(0.0, now - self._now)
-        self._now = max(self._now, now)
-        gain = min(self.rate * passed, self.headroom)
-        self.level += max(0.0, gain)
-        self._mark()
+        elapsed_s = max(0.0, now - self._updated_at)
+        self._updated_at = max(self._updated_at, now)
+        refill = min(self.rate * elapsed_s, self.headroom)
+        self.level += max(0.0, refill)
+        self._record_headroom()
 
-    def _mark(self) -> None:
+    def _record_headroom(self) -> None:
         headroom = self.headroom
         while self._marks and self._marks[-1].headroom >= headroom:
             self._marks.pop()
-        self._marks.append(_Mark(self._now, headroom))
-        if len(self._marks) > MARKS:
+        self._marks.append(_HeadroomMark(self._updated_at, headroom))
+        if len(self._marks) > MAX_MARKS:
             first = self._marks.pop(0)
             self._marks[0].headroom = first.headroom
 
@@ -89,28 +89,28 @@
         self.level -= tokens
         return True
 
-    def lend(self, tokens: float, now: float, until: float) -> Loan | None:
+    def lend(self, tokens: float, now: float, expires_at: float) -> Loan | None:
         """Take tokens that a borrower may spend up to ``until``."""
         if not self.spend(tokens, now):
             return None
-        return self._hold(tokens, until)
+        return self._add_loan(tokens, expires_at)
 
-    def _hold(self, tokens: float, until: float) -> Loan:
-        loan = Loan(until, tokens)
-        insort(self._loans, loan, key=lambda item: item.until)
-        self._out += tokens
+    def _add_loan(self, tokens: float, expires_at: float) -> Loan:
+        loan = Loan(expires_at, tokens)
+        insort(self._loans, loan, key=lambda item: item.expires_at)
+        self._lent += tokens
         return loan
 
-    def credit(self, tokens: float, since: float, now: float) -> float:
+    def credit(self, tokens: float, charged_at: float, now: float) -> float:
         """Give back tokens charged at ``since``; return how many found room."""
         self.advance(now)
-        later = [mark for mark in self._marks if mark.time > since]
+        later = [mark for mark in self._marks if mark.time > charged_at]
         room = min((mark.headroom for mark in later), default=self.headroom)
         credited = max(0.0, min(tokens, room))
         self.level += credited
         for mark in later:
             mark.headroom -= credited
-        self._restore_order()
+        self._restore_mark_order()
         return credited
 
     def repay(self, loan: Loan, tokens: float, now: float) -> float:
@@ -121,43 +121,43 @@
         """
         self.advance(now)
         tokens = min(tokens, loan.tokens)
-        if loan.until <= now:
-            return self.credit(tokens, loan.until, now)
+        if loan.expires_at <= now:
+            return self.credit(tokens, loan.expires_at, now)
         loan.tokens -= tokens
-        self._out -= tokens
+        self._lent -= tokens
         self.level += tokens
         return tokens
 
-    def _restore_order(self) -> None:
-        kept: list[_Mark] = []
+    def _restore_mark_order(self) -> None:
+        ordered: list[_HeadroomMark] = []
         for mark in self._marks:
-            while kept and kept[-1].headroom >= mark.headroom:
-                kept.pop()
-            kept.append(mark)
-        self._marks = kept
+            while ordered and ordered[-1].headroom >= mark.headroom:
+                ordered.pop()
+            ordered.append(mark)
+        self._marks = ordered
 
     def resize(self, rate: float, cap: float, now: float) -> None:
         """Take a new rate and cap; what no longer fits is lost."""
         self.advance(now)
         self.rate = rate
         self.cap = cap
-        self.level = max(0.0, min(self.level, cap - self._out))
-        self._mark()
+        self.level = max(0.0, min(self.level, cap - self._lent))
+        self._record_headroom()
 
     def deposit(self, tokens: float, now: float) -> float:
         """Take borrowed tokens as this bucket's own, as far as there is room now."""
         self.advance(now)
-        taken = max(0.0, min(tokens, self.headroom))
-        self.level += taken
-        self._mark()
-        return taken
+        deposited = max(0.0, min(tokens, self.headroom))
+        self.level += deposited
+        self._record_headroom()
+        return deposited
 
-    def hold_back(self, tokens: float, now: float, until: float) -> None:
+    def withhold(self, tokens: float, now: float, expires_at: float) -> None:
         """Count tokens against the cap as if lent, though nothing was taken.
 
         Part of a share that comes from another process may still be lent out by
         it: until those loans have ended that part of the cap is not refilled.
         """
         self.advance(now)
-        self._hold(tokens, until)
-        self._mark()
+        self._add_loan(tokens, expires_at)
+        self._record_headroom()
--- a/src/persimmonhitch/limits/lending.py
+++ b/src/persimmonhitch/limits/lending.py
@@ -18,17 +18,17 @@
 
 from ..ids import Vm
 
-ANSWER_TIMEOUT: Final = 0.25
+ANSWER_TIMEOUT_S: Final = 0.25
 """Seconds for the first answer; twice a round trip between distant regions."""
-PROBE_FIRST: Final = 0.25
-PROBE_MOST: Final = 8.0
+MIN_PROBE_INTERVAL_S: Final = 0.25
+MAX_PROBE_INTERVAL_S: Final = 8.0
 """Seconds between probes of a holder that does not answer; doubles each time."""
-POOL_BELOW: Final = 0.5
+POOL_THRESHOLD: Final = 0.5
 """Part of its own burst below which the home holder pools the other shares: an
 account that needs less than one share's rate then costs no messages for it."""
-POOL_IDLE: Final = 30.0
+POOL_IDLE_S: Final = 30.0
 """Seconds without a request after which pooled shares go back."""
-RENEW_AT: Final = 1.0
+RENEW_BEFORE_S: Final = 1.0
 """Seconds left of a lease at which it is renewed: time for a second try."""
 
 
@@ -39,47 +39,47 @@
     parts: int
     up: bool = True
     probe_at: float = 0.0
-    probe_pause: float = PROBE_FIRST
-    asked: bool = False
+    probe_interval_s: float = MIN_PROBE_INTERVAL_S
+    pending: bool = False
     """A ``PoolAsk`` or a probe is on its way."""
-    pool_again_at: float = 0.0
+    pool_retry_at: float = 0.0
     """It has refused to pool until then."""
 
-    def answered(self) -> None:
+    def mark_responsive(self) -> None:
         """Note that it answers."""
-        self.up, self.probe_pause = True, PROBE_FIRST
+        self.up, self.probe_interval_s = True, MIN_PROBE_INTERVAL_S
 
-    def silent(self, now: float) -> None:
+    def mark_unresponsive(self, now: float) -> None:
         """Note that it did not answer in time."""
         self.up = False
-        self.probe_at = now + self.probe_pause
-        self.probe_pause = min(PROBE_MOST, 2 * self.probe_pause)
+        self.probe_at = now + self.probe_interval_s
+        self.probe_interval_s = min(MAX_PROBE_INTERVAL_S, 2 * self.probe_interval_s)
 
 
 Views = Mapping[Vm, HolderView]
 
 
-def home(order: Sequence[Vm], me: Vm, views: Views) -> Vm | None:
+def home_holder(order: Sequence[Vm], own_vm: Vm, views: Views) -> Vm | None:
     """Return the holder to ask: the first that answers, or this VM itself."""
     for vm in order:
-        if vm == me or views[vm].up:
+        if vm == own_vm or views[vm].up:
             return vm
     return None
 
 
-def to_probe(views: Views, now: float) -> list[Vm]:
+def due_for_probe(views: Views, now: float) -> list[Vm]:
     """Return the silent holders that are due for a probe."""
     return [
         vm
         for vm, view in views.items()
-        if not view.up and not view.asked and view.probe_at <= now
+        if not view.up and not view.pending and view.probe_at <= now
     ]
 
 
-def poolable(views: Views, now: float) -> int:
+def poolable_parts(views: Views, now: float) -> int:
     """Return the parts of the shares that may still be pooled."""
     return sum(
-        view.parts for view in views.values() if view.up and view.pool_again_at <= now
+        view.parts for view in views.values() if view.up and view.pool_retry_at <= now
     )
 
 
@@ -90,8 +90,8 @@
     return shortage / rate if rate > 0 else float("inf")
 
 
-def hopeless(
-    needs: Iterable[tuple[float, float]], have: float, rate: float
+def excess_waits(
+    requests: Iterable[tuple[float, float]], available: float, rate: float
 ) -> list[float | None]:
     """Say for each request of a queue whether it cannot get its tokens in time.
 
@@ -108,13 +108,13 @@
         None for one that may succeed, else the seconds after which the tokens it
         needs will be there. Given-up requests do not count for those behind them.
     """
-    answers: list[float | None] = []
-    ahead = 0.0
-    for tokens, left in needs:
-        seconds = time_to_fill(ahead + tokens - have, rate)
-        if seconds > left:
-            answers.append(seconds)
+    waits: list[float | None] = []
+    reserved = 0.0
+    for tokens, timeout_s in requests:
+        seconds = time_to_fill(reserved + tokens - available, rate)
+        if seconds > timeout_s:
+            waits.append(seconds)
             continue
-        answers.append(None)
-        ahead += tokens
-    return answers
+        waits.append(None)
+        reserved += tokens
+    return waits
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -19,23 +19,23 @@
     Borrow,
     Lend,
     Message,
-    PoolAsk,
     Pooled,
+    PoolRequest,
     PoolReturn,
     Queued,
     Refund,
-    ShareRecordAsk,
-    ShareRecordNews,
+    ShareRecordRequest,
+    ShareRecordUpdate,
 )
-from .record import NOBODY, ShareRecord, from_spec
+from .record import NO_PARTS, ShareRecord, from_spec
 
-TICK: Final = 1.0
+TICK_S: Final = 1.0
 """Seconds between looks at the clock while nothing waits."""
-SLACK: Final = 1.0
+GRACE_S: Final = 1.0
 """Seconds beyond a request's time before its missing decision counts as a fault."""
-NOT_ASKED: Final = 0.0
+NOT_REQUESTED: Final = 0.0
 """Time of asking in news that nobody asked for; it settles no doubt."""
-KINDS: Final = (Borrow, Queued, Lend, Refund, PoolAsk, Pooled, PoolReturn)
+MESSAGE_KINDS: Final = (Borrow, Queued, Lend, Refund, PoolRequest, Pooled, PoolReturn)
 
 
 def boot_time() -> float:
@@ -47,7 +47,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Mesh(Protocol):
+class PeerLinks(Protocol):
     """What the limiter needs of the links between entries."""
 
     def send(self, vm: Vm, msg: Any) -> bool:
@@ -64,11 +64,11 @@
     account: Account
     tokens: Tokens
     ticket: Ticket
-    giver: Vm
+    lender: Vm
     generation: int
 
 
-UNPAID: Final = Reservation(Account(""), Tokens(0.0), Ticket(-1), Vm(""), 0)
+NO_RESERVATION: Final = Reservation(Account(""), Tokens(0.0), Ticket(-1), Vm(""), 0)
 """Stands in a request that has no tokens yet."""
 
 
@@ -84,10 +84,10 @@
     """Holds every account to its rate together with the other entries."""
 
     def __init__(
-        self, vm: Vm, mesh: Mesh, clock: Callable[[], float] = boot_time
+        self, vm: Vm, links: PeerLinks, clock: Callable[[], float] = boot_time
     ) -> None:
         self.vm = vm
-        self._mesh = mesh
+        self._links = links
         self._clock = clock
         self._catalog = EMPTY
         self._accounts: dict[Account, AccountLimiter] = {}
@@ -95,10 +95,10 @@
         self._last_ticket = 0
         self._changed = threading.Condition()
         self._stopping = False
-        for kind in KINDS:
-            mesh.on(kind, self._on_message)
-        mesh.on(ShareRecordAsk, self._on_record_ask)
-        mesh.on(ShareRecordNews, self._on_record_news)
+        for kind in MESSAGE_KINDS:
+            links.on(kind, self._on_message)
+        links.on(ShareRecordRequest, self._on_record_request)
+        links.on(ShareRecordUpdate, self._on_record_update)
         self._thread = threading.Thread(target=self._run, name="limits", daemon=True)
 
     def start(self) -> None:
@@ -116,7 +116,7 @@
     # -- requests --------------------------------------------------------------
 
     def reserve(
-        self, account: Account, cost: Tokens, wait: float
+        self, account: Account, cost: Tokens, timeout_s: float
     ) -> Result[Reservation, Failure]:
         """Take tokens; wait for them while they can come within ``wait`` seconds."""
         plan = self._catalog.plan_of(account)
@@ -128,16 +128,16 @@
             ticket = Ticket(self._last_ticket)
             self._decisions[ticket] = decision
             limiter = self._account(account, plan)
-            sends = self._note(limiter.reserve(ticket, cost, wait, self._clock()))
+            sends = self._wake(limiter.reserve(ticket, cost, timeout_s, self._clock()))
             self._changed.notify_all()
         self._send(account, sends)
-        decision.done.wait(wait + SLACK)
+        decision.done.wait(timeout_s + GRACE_S)
         with self._changed:
             del self._decisions[ticket]
         action = decision.action
         if isinstance(action, Admit):
-            taken = Reservation(account, cost, ticket, action.giver, action.generation)
-            return Success(taken)
+            grant = Reservation(account, cost, ticket, action.lender, action.generation)
+            return Success(grant)
         return Err(_refusal(action, cost, plan))
 
     def settle(self, reservation: Reservation, used: Tokens) -> None:
@@ -145,7 +145,7 @@
         with self._changed:
             limiter = self._accounts[reservation.account]
             actions = limiter.settle(reservation.ticket, used, self._clock())
-            sends = self._note(actions)
+            sends = self._wake(actions)
         self._send(reservation.account, sends)
 
     # -- configuration and records ---------------------------------------------
@@ -168,35 +168,35 @@
         """Return the newest share record known of an account."""
         with self._changed:
             limiter = self._accounts.get(account)
-            return NOBODY if limiter is None else limiter.share.record
+            return NO_PARTS if limiter is None else limiter.share.record
 
-    def ask_records(self, vms: list[Vm]) -> bool:
+    def request_records(self, vms: list[Vm]) -> bool:
         """Ask peers for records unknown or in doubt here; return whether none is."""
-        unknown = [a for a in self.accounts() if self._unsure(a)]
-        for account in unknown:
+        needed = [a for a in self.accounts() if self._needs_record(a)]
+        for account in needed:
             for vm in vms:
-                self._mesh.send(vm, ShareRecordAsk(account, self._clock()))
-        return not unknown
+                self._links.send(vm, ShareRecordRequest(account, self._clock()))
+        return not needed
 
-    def _unsure(self, account: Account) -> bool:
+    def _needs_record(self, account: Account) -> bool:
         with self._changed:
             limiter = self._accounts.get(account)
             if limiter is None:
                 return True
-            return limiter.share.doubtful or limiter.share.record.generation == 0
+            return limiter.share.unconfirmed or limiter.share.record.generation == 0
 
-    def tell_record(self, account: Account, vms: Iterable[Vm]) -> None:
+    def broadcast_record(self, account: Account, vms: Iterable[Vm]) -> None:
         """Tell peers of a record that was just written.
 
         They would read it within seconds, but not if the store goes down first: a
         new holder would then not know of its share for the whole outage.
         """
         record = self.record(account)
-        news = ShareRecordNews(
-            account, NOT_ASKED, record.generation, dict(record.parts)
+        update = ShareRecordUpdate(
+            account, NOT_REQUESTED, record.generation, dict(record.parts)
         )
         for vm in vms:
-            self._mesh.send(vm, news)
+            self._links.send(vm, update)
 
     def parts(self, account: Account) -> int:
         """Return the parts of an account that this VM counts as its own."""
@@ -215,7 +215,7 @@
             return
         with self._changed:
             limiter = self._account(account, plan)
-            sends = self._note(step(limiter, self._clock()))
+            sends = self._wake(step(limiter, self._clock()))
             self._changed.notify_all()
         self._send(account, sends)
 
@@ -232,22 +232,22 @@
     def _on_message(self, vm: Vm, msg: Message) -> None:
         self.apply(msg.account, lambda limiter, now: limiter.receive(vm, msg, now))
 
-    def _on_record_ask(self, vm: Vm, msg: ShareRecordAsk) -> None:
+    def _on_record_request(self, vm: Vm, msg: ShareRecordRequest) -> None:
         record = self.record(msg.account)
         if record.generation > 0:
             parts = dict(record.parts)
-            news = ShareRecordNews(msg.account, msg.asked, record.generation, parts)
-            self._mesh.send(vm, news)
+            reply = ShareRecordUpdate(msg.account, msg.as_of, record.generation, parts)
+            self._links.send(vm, reply)
 
-    def _on_record_news(self, vm: Vm, msg: ShareRecordNews) -> None:
+    def _on_record_update(self, vm: Vm, msg: ShareRecordUpdate) -> None:
         result = from_spec({"generation": msg.generation, "parts": msg.parts})
         if not isinstance(result, Success):
             log("share_record_broken", peer_vm=vm, error=result.failure())
             return
         record = result.unwrap()
-        self.apply(msg.account, lambda lim, now: lim.confirm(record, msg.asked, now))
+        self.apply(msg.account, lambda lim, now: lim.confirm(record, msg.as_of, now))
 
-    def _note(self, actions: list[Action]) -> list[Send]:
+    def _wake(self, actions: list[Action]) -> list[Send]:
         sends: list[Send] = []
         for action in actions:
             if isinstance(action, Send):
@@ -263,20 +263,20 @@
         # Outside the lock: a peer that reads slowly must not hold up the requests
         # of all accounts.
         for send in sends:
-            if not self._mesh.send(send.vm, send.msg):
-                self.apply(account, _peer_loser(send.vm))
+            if not self._links.send(send.vm, send.msg):
+                self.apply(account, _disconnect_step(send.vm))
 
     def _run(self) -> None:
         while True:
             with self._changed:
-                self._changed.wait(self._pause())
+                self._changed.wait(self._time_to_tick())
                 if self._stopping:
                     return
                 accounts = list(self._accounts)
             for account in accounts:
-                self.apply_quietly(account)
+                self.tick_or_log(account)
 
-    def apply_quietly(self, account: Account) -> None:
+    def tick_or_log(self, account: Account) -> None:
         """Do what is due for one account; a fault there must not stop the others."""
         try:
             self._tick(account)
@@ -286,21 +286,21 @@
     def _tick(self, account: Account) -> None:
         with self._changed:
             limiter = self._accounts[account]
-            sends = self._note(limiter.tick(self._clock()))
+            sends = self._wake(limiter.tick(self._clock()))
             holders = list(limiter.share.record.parts)
-            doubtful = limiter.share.doubtful
+            doubtful = limiter.share.unconfirmed
         self._send(account, sends)
         if doubtful:
             log("share_in_doubt", account=account)
             for vm in holders:
                 if vm != self.vm:
-                    self._mesh.send(vm, ShareRecordAsk(account, self._clock()))
+                    self._links.send(vm, ShareRecordRequest(account, self._clock()))
 
-    def _pause(self) -> float:
+    def _time_to_tick(self) -> float:
         now = self._clock()
         wakes = [limiter.next_wake() for limiter in self._accounts.values()]
-        due = min((wake for wake in wakes if wake is not None), default=now + TICK)
-        return min(TICK, max(0.0, due - now))
+        due = min((wake for wake in wakes if wake is not None), default=now + TICK_S)
+        return min(TICK_S, max(0.0, due - now))
 
 
 def _plan_setter(
@@ -309,14 +309,14 @@
     return lambda limiter, now: limiter.set_plan(plan, now)
 
 
-def _peer_loser(vm: Vm) -> Callable[[AccountLimiter, float], list[Action]]:
-    return lambda limiter, now: limiter.peer_lost(vm, now)
+def _disconnect_step(vm: Vm) -> Callable[[AccountLimiter, float], list[Action]]:
+    return lambda limiter, now: limiter.peer_disconnected(vm, now)
 
 
 def _refusal(action: Action | None, cost: Tokens, plan: PlanEntry) -> Failure:
     if action is None or isinstance(action, Admit | Send):
         return Failure(
-            ErrorCode.RATE_LIMITED, "no tokens could be taken", retry_after=SLACK
+            ErrorCode.RATE_LIMITED, "no tokens could be taken", retry_after=GRACE_S
         )
     if action.retry_after is None:
         reason = f"the request costs {cost:.0f} tokens, the burst is {plan.burst:.0f}"
--- a/src/persimmonhitch/limits/messages.py
+++ b/src/persimmonhitch/limits/messages.py
@@ -19,9 +19,9 @@
     account: Account
     loan: LoanId
     tokens: Tokens
-    wait: float
-    life: float
-    insist: bool
+    timeout_s: float
+    ttl_s: float
+    force: bool
 
 
 @message(21)
@@ -56,7 +56,7 @@
     account: Account
     loan: LoanId
     tokens: Tokens
-    queued: float
+    queued_s: float
     retry_after: float
     pooled_at: Vm | None
     generation: int
@@ -74,12 +74,12 @@
 
 @message(24)
 @dataclass(frozen=True)
-class PoolAsk:
+class PoolRequest:
     """Ask a holder for its whole share for a while, or for longer (``lease``)."""
 
     account: Account
-    ask: LoanId
-    lease: LoanId | None
+    request_id: LoanId
+    lease_id: LoanId | None
 
 
 @message(25)
@@ -91,11 +91,11 @@
     """
 
     account: Account
-    ask: LoanId
-    lease: LoanId
+    request_id: LoanId
+    lease_id: LoanId
     parts: int
     tokens: Tokens
-    life: float
+    ttl_s: float
     generation: int
 
 
@@ -105,28 +105,28 @@
     """Give a pooled share back before its lease ends, with the tokens in it."""
 
     account: Account
-    lease: LoanId
+    lease_id: LoanId
     tokens: Tokens
 
 
 @message(27)
 @dataclass(frozen=True)
-class ShareRecordNews:
+class ShareRecordUpdate:
     """The newest share record known of an account; ``asked`` is the asker's time."""
 
     account: Account
-    asked: float
+    as_of: float
     generation: int
     parts: dict[Vm, int]
 
 
 @message(28)
 @dataclass(frozen=True)
-class ShareRecordAsk:
+class ShareRecordRequest:
     """Ask a peer for the newest share record it knows, at the asker's time."""
 
     account: Account
-    asked: float
+    as_of: float
 
 
 @message(29)
@@ -139,4 +139,4 @@
     generation: int
 
 
-Message = Borrow | Queued | Lend | Refund | PoolAsk | Pooled | PoolReturn
+Message = Borrow | Queued | Lend | Refund | PoolRequest | Pooled | PoolReturn
--- a/src/persimmonhitch/limits/pending.py
+++ b/src/persimmonhitch/limits/pending.py
@@ -11,11 +11,11 @@
 class Credit:
     """Borrowed tokens not yet spent."""
 
-    giver: Vm
+    lender: Vm
     loan: LoanId
     generation: int
     tokens: float
-    ends: float
+    expires_at: float
 
 
 @dataclass(eq=False)
@@ -24,32 +24,32 @@
 
     tokens: float
     deadline: float
-    arrived: float
+    arrived_at: float
     ticket: Ticket = Ticket(-1)
     peer: Vm | None = None
     loan: LoanId = LoanId("")
-    life: float = 0.0
-    asked: bool = False
+    ttl_s: float = 0.0
+    borrowing: bool = False
     """A ``Borrow`` for it is on its way."""
-    target: Vm | None = None
+    holder: Vm | None = None
     """The holder to ask next, as the last one said."""
-    insist: bool = False
+    force: bool = False
     """A holder did not answer."""
 
 
 @dataclass
-class Ask:
+class PendingRequest:
     """A ``Borrow`` or ``PoolAsk`` without its answer."""
 
     vm: Vm
-    sent: float
+    sent_at: float
     waiter: Waiter | None = None
-    life: float = 0.0
+    ttl_s: float = 0.0
     queued: bool = False
 
 
 @dataclass(frozen=True)
-class Lent:
+class GrantedLoan:
     """A loan made."""
 
     loan: Loan
@@ -61,5 +61,5 @@
     """What an admitted request took."""
 
     total: float
-    since: float
+    charged_at: float
     borrowed: list[tuple[Vm, LoanId, float]] = field(default_factory=list)
--- a/src/persimmonhitch/limits/record.py
+++ b/src/persimmonhitch/limits/record.py
@@ -21,14 +21,14 @@
 
 PARTS: Final = 1_000_000
 """A whole share; integers, so that the sum is exact."""
-HOLDERS: Final = 4
-LEAST: Final = PARTS // 20
+MAX_HOLDERS: Final = 4
+MIN_PARTS: Final = PARTS // 20
 """Parts below which a share is not worth a holder's place."""
-MOST: Final = PARTS * 2 // 5
+MAX_PARTS: Final = PARTS * 2 // 5
 """Parts that demand may gather on one VM: what its death may cost an account."""
-MOVE_FACTOR: Final = 2.0
+MIN_DEMAND_RATIO: Final = 2.0
 """A borrower must use this many times what the holder uses to take its share."""
-MOVE_SHARE: Final = 0.35
+MIN_DEMAND_SHARE: Final = 0.35
 """Part of all tokens taken that a borrower must use; below it a move saves little."""
 
 
@@ -52,7 +52,7 @@
         return {"generation": self.generation, "parts": dict(self.parts)}
 
 
-NOBODY: Final = ShareRecord(0, {})
+NO_PARTS: Final = ShareRecord(0, {})
 
 
 def from_spec(spec: Spec) -> Result[ShareRecord, str]:
@@ -68,36 +68,36 @@
 
 
 def _next(record: ShareRecord, parts: Mapping[Vm, int]) -> ShareRecord:
-    kept = {vm: part for vm, part in parts.items() if part > 0}
-    return ShareRecord(record.generation + 1, kept)
+    nonzero = {vm: part for vm, part in parts.items() if part > 0}
+    return ShareRecord(record.generation + 1, nonzero)
 
 
-def _equal(vms: list[Vm]) -> dict[Vm, int]:
+def _equal_parts(vms: list[Vm]) -> dict[Vm, int]:
     parts = {vm: PARTS // len(vms) for vm in vms}
     parts[vms[0]] += PARTS - sum(parts.values())
     return parts
 
 
-def ranked(account: Account, vms: Iterable[Vm]) -> list[Vm]:
+def rank_vms(account: Account, vms: Iterable[Vm]) -> list[Vm]:
     """Order VMs by a hash with the account, so that holders spread over the fleet."""
     return sorted(
         set(vms), key=lambda vm: hashlib.sha256(f"{account}/{vm}".encode()).digest()
     )
 
 
-def found(record: ShareRecord, account: Account, live: Iterable[Vm]) -> ShareRecord:
+def allocate(record: ShareRecord, account: Account, live: Iterable[Vm]) -> ShareRecord:
     """Give the shares of a record without holders to live VMs."""
-    chosen = ranked(account, live)[:HOLDERS]
-    return _next(record, _equal(chosen)) if chosen else record
+    chosen = rank_vms(account, live)[:MAX_HOLDERS]
+    return _next(record, _equal_parts(chosen)) if chosen else record
 
 
-def join(record: ShareRecord, giver: Vm, taker: Vm) -> ShareRecord | None:
+def split_share(record: ShareRecord, holder: Vm, new_holder: Vm) -> ShareRecord | None:
     """Let a holder halve its share for a new holder; None when it must not."""
-    part = record.parts.get(giver, 0)
-    full = len(record.parts) >= HOLDERS or taker in record.parts
-    if full or part < 2 * LEAST:
+    part = record.parts.get(holder, 0)
+    excluded = len(record.parts) >= MAX_HOLDERS or new_holder in record.parts
+    if excluded or part < 2 * MIN_PARTS:
         return None
-    parts = {**record.parts, giver: part - part // 2, taker: part // 2}
+    parts = {**record.parts, holder: part - part // 2, new_holder: part // 2}
     return _next(record, parts)
 
 
@@ -106,26 +106,26 @@
     if vm not in record.parts:
         return record
     others = {other: part for other, part in record.parts.items() if other != vm}
-    heirs = sorted(others) or sorted(set(live) - {vm})[:1]
-    if not heirs:
+    successors = sorted(others) or sorted(set(live) - {vm})[:1]
+    if not successors:
         return _next(record, {})
-    each, rest = divmod(record.parts[vm], len(heirs))
-    parts = {heir: others.get(heir, 0) + each for heir in heirs}
-    parts[heirs[0]] += rest
+    each, remainder = divmod(record.parts[vm], len(successors))
+    parts = {successor: others.get(successor, 0) + each for successor in successors}
+    parts[successors[0]] += remainder
     return _next(record, parts)
 
 
-def reclaim(record: ShareRecord, gone: Iterable[Vm], live: Iterable[Vm]) -> ShareRecord:
+def reclaim(record: ShareRecord, lost: Iterable[Vm], live: Iterable[Vm]) -> ShareRecord:
     """Take the shares of VMs that the platform no longer lists."""
     candidates = list(live)
-    lost = set(gone)
-    for vm in sorted(lost & set(record.parts)):
-        record = release(record, vm, set(candidates) - lost)
+    removed = set(lost)
+    for vm in sorted(removed & set(record.parts)):
+        record = release(record, vm, set(candidates) - removed)
     return record
 
 
 def rebalance(
-    record: ShareRecord, me: Vm, demand: Mapping[Vm, float]
+    record: ShareRecord, holder: Vm, demand: Mapping[Vm, float]
 ) -> ShareRecord | None:
     """Move this holder's share towards the VM that uses its tokens most.
 
@@ -144,21 +144,21 @@
         The record to write, or None where a move would gain too little. Half the
         share moves at a time; a share below ``2 * LEAST`` moves whole.
     """
-    part = record.parts.get(me, 0)
-    taker = max(
-        (vm for vm in demand if vm != me), key=lambda vm: demand[vm], default=me
+    part = record.parts.get(holder, 0)
+    borrower = max(
+        (vm for vm in demand if vm != holder), key=lambda vm: demand[vm], default=holder
     )
-    if taker == me or part == 0 or demand[taker] <= 0:
+    if borrower == holder or part == 0 or demand[borrower] <= 0:
         return None
-    if demand[taker] < MOVE_FACTOR * demand.get(me, 0.0):
+    if demand[borrower] < MIN_DEMAND_RATIO * demand.get(holder, 0.0):
         return None
-    if demand[taker] < MOVE_SHARE * sum(demand.values()):
+    if demand[borrower] < MIN_DEMAND_SHARE * sum(demand.values()):
         return None
-    whole = part < 2 * LEAST or (
-        taker not in record.parts and len(record.parts) >= HOLDERS
+    whole = part < 2 * MIN_PARTS or (
+        borrower not in record.parts and len(record.parts) >= MAX_HOLDERS
     )
     moved = part if whole else part // 2
-    taken = record.parts.get(taker, 0) + moved
-    if taken > MOST:
+    total = record.parts.get(borrower, 0) + moved
+    if total > MAX_PARTS:
         return None
-    return _next(record, {**record.parts, me: part - moved, taker: taken})
+    return _next(record, {**record.parts, holder: part - moved, borrower: total})
--- a/src/persimmonhitch/limits/revoked.py
+++ b/src/persimmonhitch/limits/revoked.py
@@ -12,27 +12,27 @@
 from ..verdict import ErrorCode, Failure
 from .messages import ShareRevoked
 
-MOST: Final = 10_000
+MAX_REVOCATIONS: Final = 10_000
 """Revocations kept; the oldest go first."""
-RETRY_AFTER: Final = 1.0
+RETRY_AFTER_S: Final = 1.0
 
 
 class RevokedShares:
     """The newest generation at which each VM lost its share of an account."""
 
     def __init__(self) -> None:
-        self._since: OrderedDict[tuple[Account, Vm], int] = OrderedDict()
+        self._generations: OrderedDict[tuple[Account, Vm], int] = OrderedDict()
 
-    def note(self, msg: ShareRevoked) -> None:
+    def add(self, msg: ShareRevoked) -> None:
         """Take what an entry says."""
         key = (msg.account, msg.vm)
-        self._since[key] = max(self._since.get(key, 0), msg.generation)
-        if len(self._since) > MOST:
-            self._since.popitem(last=False)
+        self._generations[key] = max(self._generations.get(key, 0), msg.generation)
+        if len(self._generations) > MAX_REVOCATIONS:
+            self._generations.popitem(last=False)
 
-    def refusal(self, account: Account, giver: Vm, generation: int) -> Failure | None:
+    def refusal(self, account: Account, lender: Vm, generation: int) -> Failure | None:
         """Return why a request may not run, or None."""
-        if generation >= self._since.get((account, giver), 0):
+        if generation >= self._generations.get((account, lender), 0):
             return None
         reason = "admitted from a rate share that was taken back"
-        return Failure(ErrorCode.RATE_LIMITED, reason, retry_after=RETRY_AFTER)
+        return Failure(ErrorCode.RATE_LIMITED, reason, retry_after=RETRY_AFTER_S)
--- a/src/persimmonhitch/limits/share.py
+++ b/src/persimmonhitch/limits/share.py
@@ -32,17 +32,17 @@
 from ..catalog.model import PlanEntry
 from ..ids import LoanId, Vm
 from .bucket import Bucket
-from .record import NOBODY, PARTS, ShareRecord
+from .record import NO_PARTS, PARTS, ShareRecord
 
-LOAN_LIFE: Final = 0.25
+LOAN_TTL_S: Final = 0.25
 """Seconds that a loan may live at most; a few round trips between regions."""
-KEPT_FACTOR: Final = 1.1
+DRIFT_FACTOR: Final = 1.1
 """The giver counts loans and leases longer, since clocks drift apart."""
-POOL_LIFE: Final = 4.0
+POOL_TTL_S: Final = 4.0
 """Seconds of a lease on a pooled share: how long a dead holder keeps the others'."""
-MAX_PAUSE: Final = 5.0
+MAX_PAUSE_S: Final = 5.0
 """Seconds; well above any collector's pause, well below ``RECLAIM_AFTER``."""
-RECLAIM_AFTER: Final = 30.0
+RECLAIM_AFTER_S: Final = 30.0
 """Seconds a VM must be missing from the platform's list before its share is taken."""
 
 
@@ -51,9 +51,9 @@
     """A share in the hands of another VM, seen from either side."""
 
     vm: Vm
-    lease: LoanId
+    id: LoanId
     parts: int
-    ends: float
+    expires_at: float
 
 
 class Share:
@@ -62,51 +62,51 @@
     def __init__(self, vm: Vm, plan: PlanEntry, now: float) -> None:
         self.vm = vm
         self.plan = plan
-        self.record: ShareRecord = NOBODY
+        self.record: ShareRecord = NO_PARTS
         self.parts = 0
         self.bucket = Bucket(0.0, 0.0, now)
-        self.doubtful = False
-        self._doubtful_since = now
+        self.unconfirmed = False
+        self._unconfirmed_since = now
         # The process that ran here before may have lent the share to another
         # holder just before it ended, and that one may use it until its lease ends.
-        ends = now + POOL_LIFE * KEPT_FACTOR
-        self.away: Lease | None = Lease(vm, LoanId(""), PARTS, ends)
+        expires_at = now + POOL_TTL_S * DRIFT_FACTOR
+        self.lent: Lease | None = Lease(vm, LoanId(""), PARTS, expires_at)
         self.pooled: dict[Vm, Lease] = {}
         self._in_use = 0
-        self._least_generation = 0
-        self._seen = now
+        self._min_generation = 0
+        self._advanced_at = now
 
-    def look(self, now: float) -> bool:
+    def advance(self, now: float) -> bool:
         """End leases, refill, and return whether the share may be used."""
-        if now - self._seen > MAX_PAUSE:
-            self.doubtful = True
-            self._doubtful_since = now
-        self._seen = max(self._seen, now)
-        for lease in sorted(self.pooled.values(), key=lambda item: item.ends):
-            if lease.ends <= now:
+        if now - self._advanced_at > MAX_PAUSE_S:
+            self.unconfirmed = True
+            self._unconfirmed_since = now
+        self._advanced_at = max(self._advanced_at, now)
+        for lease in sorted(self.pooled.values(), key=lambda item: item.expires_at):
+            if lease.expires_at <= now:
                 del self.pooled[lease.vm]
-                self._resize(lease.ends)
-        if self.away is not None and self.away.ends <= now:
-            ends, self.away = self.away.ends, None
-            self._resize(ends)
+                self._resize(lease.expires_at)
+        if self.lent is not None and self.lent.expires_at <= now:
+            expired_at, self.lent = self.lent.expires_at, None
+            self._resize(expired_at)
         self.bucket.advance(now)
-        return not self.doubtful
+        return not self.unconfirmed
 
-    def found(self, record: ShareRecord, now: float) -> None:
+    def initialize(self, record: ShareRecord, now: float) -> None:
         """Take the first record of an account: nobody can have used its tokens."""
-        self.look(now)
-        self.away = None
+        self.advance(now)
+        self.lent = None
         self.parts = record.parts.get(self.vm, 0)
         self._resize(now, self.plan.burst * self.parts / PARTS)
 
-    def learn(self, record: ShareRecord, now: float) -> bool:
+    def adopt(self, record: ShareRecord, now: float) -> bool:
         """Take a record that was read or heard of; return whether it is newer."""
         if record.generation < self.record.generation:
             return False
         newer = record.generation > self.record.generation
         self.record = record
         parts = record.parts.get(self.vm, 0)
-        if record.generation < self._least_generation:
+        if record.generation < self._min_generation:
             parts = min(parts, self.parts)
         self.parts = parts
         for vm, lease in list(self.pooled.items()):
@@ -115,27 +115,27 @@
         self._resize(now)
         return newer
 
-    def confirm(self, record: ShareRecord, asked: float, now: float) -> bool:
+    def confirm(self, record: ShareRecord, as_of: float, now: float) -> bool:
         """Take a record that the store or a peer was asked for at ``asked``.
 
         An answer that was asked for before the pause says nothing: the share may
         have gone to another VM after it was given.
         """
-        newer = self.learn(record, now)
+        newer = self.adopt(record, now)
         current = record.generation >= self.record.generation
-        if current and asked >= self._doubtful_since:
-            self.doubtful = False
+        if current and as_of >= self._unconfirmed_since:
+            self.unconfirmed = False
         return newer
 
-    def yield_to(self, record: ShareRecord, now: float) -> bool:
+    def shrink_to(self, record: ShareRecord, now: float) -> bool:
         """Stop using what ``record`` gives away, before it is written.
 
         Return False while the share is in another VM's hands: it has to come back
         first, or both that VM and the new holder would use it.
         """
-        if self.away is not None:
+        if self.lent is not None:
             return False
-        self._least_generation = record.generation
+        self._min_generation = record.generation
         self.parts = min(self.parts, record.parts.get(self.vm, 0))
         self._resize(now)
         return True
@@ -147,67 +147,67 @@
 
     # -- pooling ---------------------------------------------------------------
 
-    def hand_over(self, to: Vm, lease: LoanId, now: float) -> float | None:
+    def lease_to(self, vm: Vm, lease_id: LoanId, now: float) -> float | None:
         """Give the whole share to another holder; return the tokens in it."""
-        if self.away is not None or self.pooled or self.parts == 0 or self.doubtful:
+        if self.lent is not None or self.pooled or self.parts == 0 or self.unconfirmed:
             return None
         tokens = self.bucket.level
         self.bucket.spend(tokens, now)
-        self.away = Lease(to, lease, self.parts, now + POOL_LIFE * KEPT_FACTOR)
+        self.lent = Lease(vm, lease_id, self.parts, now + POOL_TTL_S * DRIFT_FACTOR)
         self._resize(now)
         return tokens
 
-    def extend(self, to: Vm, lease: LoanId, now: float) -> bool:
+    def extend(self, vm: Vm, lease_id: LoanId, now: float) -> bool:
         """Let another holder keep the share for longer."""
-        away = self.away
-        if away is None or (away.vm, away.lease) != (to, lease) or self.doubtful:
+        lease = self.lent
+        if lease is None or (lease.vm, lease.id) != (vm, lease_id) or self.unconfirmed:
             return False
-        away.ends = now + POOL_LIFE * KEPT_FACTOR
+        lease.expires_at = now + POOL_TTL_S * DRIFT_FACTOR
         return True
 
-    def take_back(self, lease: LoanId, tokens: float, now: float) -> None:
+    def end_lease(self, lease_id: LoanId, tokens: float, now: float) -> None:
         """Take the share back, with the tokens left in it."""
-        if self.away is not None and self.away.lease == lease:
-            self.away = None
+        if self.lent is not None and self.lent.id == lease_id:
+            self.lent = None
             self._resize(now, tokens)
 
     def pool(self, lease: Lease, tokens: float, generation: int, now: float) -> bool:
         """Use another holder's share until its lease ends; return whether it may."""
-        if lease.ends <= now or generation < self.record.generation:
+        if lease.expires_at <= now or generation < self.record.generation:
             return False
-        known = self.pooled.get(lease.vm)
-        if known is not None and known.lease == lease.lease:
-            known.ends = max(known.ends, lease.ends)
+        existing = self.pooled.get(lease.vm)
+        if existing is not None and existing.id == lease.id:
+            existing.expires_at = max(existing.expires_at, lease.expires_at)
             return True
         self.pooled[lease.vm] = lease
         self._resize(now, tokens)
         return True
 
-    def give_back(self, vm: Vm, now: float) -> tuple[LoanId, float]:
+    def unpool(self, vm: Vm, now: float) -> tuple[LoanId, float]:
         """Stop using a pooled share; return its lease and its part of the tokens."""
         lease = self.pooled[vm]
         tokens = self.bucket.level * lease.parts / max(1, self._in_use)
         self.bucket.spend(tokens, now)
         del self.pooled[vm]
         self._resize(now)
-        return lease.lease, tokens
+        return lease.id, tokens
 
     # -- size ------------------------------------------------------------------
 
     def _parts_in_use(self) -> int:
-        away = 0 if self.away is None else self.away.parts
-        return max(0, self.parts - away) + sum(p.parts for p in self.pooled.values())
+        lent = 0 if self.lent is None else self.lent.parts
+        return max(0, self.parts - lent) + sum(p.parts for p in self.pooled.values())
 
     def _resize(self, now: float, tokens: float = 0.0) -> None:
-        parts, before = self._parts_in_use(), self._in_use
+        parts, previous = self._parts_in_use(), self._in_use
         self._in_use = parts
         plan, bucket = self.plan, self.bucket
         bucket.resize(plan.rate * parts / PARTS, plan.burst * parts / PARTS, now)
-        if parts <= before:
+        if parts <= previous:
             return
-        grown = plan.burst * (parts - before) / PARTS
-        tokens = bucket.deposit(min(tokens, grown), now)
-        bucket.hold_back(grown - tokens, now, now + LOAN_LIFE * KEPT_FACTOR)
+        added = plan.burst * (parts - previous) / PARTS
+        tokens = bucket.deposit(min(tokens, added), now)
+        bucket.withhold(added - tokens, now, now + LOAN_TTL_S * DRIFT_FACTOR)
 
     @property
     def in_use(self) -> int:
--- a/src/persimmonhitch/limits/keeper.py
+++ b/src/persimmonhitch/limits/share_manager.py
@@ -15,35 +15,35 @@
 from .limiter import Limiter, boot_time
 from .messages import ShareRevoked
 from .record import (
-    HOLDERS,
-    NOBODY,
+    MAX_HOLDERS,
+    NO_PARTS,
     ShareRecord,
-    found,
+    allocate,
     from_spec,
-    join,
-    ranked,
+    rank_vms,
     rebalance,
     reclaim,
     release,
+    split_share,
 )
-from .share import RECLAIM_AFTER
+from .share import RECLAIM_AFTER_S
 
-PERIOD: Final = 5.0
+POLL_INTERVAL_S: Final = 5.0
 """Seconds between two looks at the store: two reads, whatever the load."""
-FOUND_AFTER: Final = 1.0
+CREATE_DELAY_S: Final = 1.0
 """Seconds after the start before a new account's record is made."""
-FIRST: Final = 0.2
+RETRY_INTERVAL_S: Final = 0.2
 """Seconds between them while an account has no record yet."""
-REBALANCE_EVERY: Final = 30.0
+REBALANCE_INTERVAL_S: Final = 30.0
 """Seconds over which demand is counted before a share moves after it."""
-REVOKED_TOLD: Final = 32
-READY_AFTER: Final = 3.0
+MAX_REVOKED: Final = 32
+READY_TIMEOUT_S: Final = 3.0
 """Seconds; ten times what a link between entries takes to open."""
-RELEASE_LIMIT: Final = 6.0
+RELEASE_TIMEOUT_S: Final = 6.0
 """Seconds at a stop for a pooled share to come back; a lease lasts less."""
 
 
-class RecordKeeper:
+class ShareManager:
     """Follows the records of all accounts and changes those it may change.
 
     Parameters
@@ -59,11 +59,11 @@
         store: ObjectStore,
         limiter: Limiter,
         live: Callable[[], Iterable[Vm]],
-        tell_revoked: Callable[[ShareRevoked], None] = lambda _msg: None,
+        broadcast_revoked: Callable[[ShareRevoked], None] = lambda _msg: None,
         clock: Callable[[], float] = boot_time,
     ) -> None:
-        self._tell_revoked = tell_revoked
-        self._revoked: deque[ShareRevoked] = deque(maxlen=REVOKED_TOLD)
+        self._broadcast_revoked = broadcast_revoked
+        self._revoked: deque[ShareRevoked] = deque(maxlen=MAX_REVOKED)
         self._store = store
         self._limiter = limiter
         self._live = live
@@ -71,11 +71,11 @@
         self._was_ready = False
         self._clock = clock
         self._objects: dict[Account, StoredObject] = {}
-        self._gone_since: dict[Vm, float] = {}
-        self._rebalanced = clock()
-        self._started = clock()
-        self._spreading = False
-        self._kick = threading.Event()
+        self._lost_since: dict[Vm, float] = {}
+        self._rebalanced_at = clock()
+        self._started_at = clock()
+        self._needs_holders = False
+        self._poll_requested = threading.Event()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="shares", daemon=True)
 
@@ -83,9 +83,9 @@
         """Follow from now on."""
         self._thread.start()
 
-    def kick(self) -> None:
+    def request_poll(self) -> None:
         """Look at the store soon: accounts have changed."""
-        self._kick.set()
+        self._poll_requested.set()
 
     def ready(self) -> bool:
         """Return whether a holder of each account's share has been in reach.
@@ -98,65 +98,65 @@
             return True
         now, accounts = self._clock(), self._limiter.accounts()
         if accounts and self._ready_by == float("inf"):
-            self._ready_by = now + READY_AFTER
+            self._ready_by = now + READY_TIMEOUT_S
         live = {*self._live(), self._limiter.vm}
-        held = (self._limiter.record(account).parts.keys() for account in accounts)
-        self._was_ready = now >= self._ready_by or all(live & each for each in held)
+        holders = (self._limiter.record(account).parts.keys() for account in accounts)
+        self._was_ready = now >= self._ready_by or all(live & vms for vms in holders)
         return self._was_ready
 
     def close(self) -> None:
         """Follow no more and give this VM's shares to the others."""
         self._stopping.set()
-        self._kick.set()
+        self._poll_requested.set()
         if self._thread.is_alive():
-            self._thread.join(PERIOD)
+            self._thread.join(POLL_INTERVAL_S)
         for account in self._limiter.accounts():
             self._limiter.apply(account, lambda lim, now: lim.stop_pooling(now))
-        until = self._clock() + RELEASE_LIMIT
+        deadline = self._clock() + RELEASE_TIMEOUT_S
         for account in self._limiter.accounts():
-            self._release(account, until)
+            self._release(account, deadline)
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            whole = self.look()
-            self._kick.wait(PERIOD if whole else FIRST)
-            self._kick.clear()
+            complete = self.poll()
+            self._poll_requested.wait(POLL_INTERVAL_S if complete else RETRY_INTERVAL_S)
+            self._poll_requested.clear()
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Read the records once; return whether every account has one."""
-        asked = self._clock()
+        as_of = self._clock()
         listing = self._store.list_all(Kind.SHARE)
         if not isinstance(listing, Success):
-            return self._limiter.ask_records(list(self._live()))
+            return self._limiter.request_records(list(self._live()))
         self._objects = {Account(obj.name): obj for obj in listing.unwrap().items}
-        self._spreading = False
+        self._needs_holders = False
         # A new account has its burst at once, and a move now would cost part of it.
-        fresh = set(self._limiter.accounts()) - set(self._objects)
+        new_accounts = set(self._limiter.accounts()) - set(self._objects)
         for account in self._limiter.accounts():
             if account in self._objects:
-                self._learn(account, self._objects[account], asked)
+                self._confirm(account, self._objects[account], as_of)
             else:
-                self._found(account)
-        self._repeat_revoked()
-        self._tend(fresh)
-        known = (self._limiter.record(a) for a in self._limiter.accounts())
-        return not self._spreading and all(r.generation > 0 for r in known)
+                self._create_record(account)
+        self._resend_revoked()
+        self._update_shares(new_accounts)
+        records = (self._limiter.record(a) for a in self._limiter.accounts())
+        return not self._needs_holders and all(r.generation > 0 for r in records)
 
-    def _learn(self, account: Account, obj: StoredObject, asked: float) -> None:
+    def _confirm(self, account: Account, obj: StoredObject, as_of: float) -> None:
         result = from_spec(obj.spec)
         if not isinstance(result, Success):
             log("share_record_broken", account=account, error=result.failure())
             return
         record = result.unwrap()
-        self._note_revoked(account, self._limiter.record(account), record)
-        self._limiter.apply(account, lambda lim, now: lim.confirm(record, asked, now))
+        self._record_revoked(account, self._limiter.record(account), record)
+        self._limiter.apply(account, lambda lim, now: lim.confirm(record, as_of, now))
 
-    def _found(self, account: Account) -> None:
+    def _create_record(self, account: Account) -> None:
         # Shortly after the start the other entries are not linked yet, and an
         # account on this VM alone would be gone with it.
-        if self._clock() - self._started < FOUND_AFTER:
+        if self._clock() - self._started_at < CREATE_DELAY_S:
             return
-        record = found(NOBODY, account, {self._limiter.vm, *self._live()})
+        record = allocate(NO_PARTS, account, {self._limiter.vm, *self._live()})
         result = self._store.create(Kind.SHARE, account, record.to_spec())
         if not isinstance(result, Success):
             return
@@ -164,72 +164,72 @@
         # account may have its burst at once.
         self._objects[account] = result.unwrap()
         # Until it has other holders the account hangs on this VM alone.
-        self._spreading = True
-        self._limiter.apply(account, lambda lim, now: lim.found(record, now))
+        self._needs_holders = True
+        self._limiter.apply(account, lambda lim, now: lim.initialize(record, now))
 
     # -- changes of this VM's shares -------------------------------------------
 
-    def _tend(self, fresh: set[Account]) -> None:
-        gone = self._gone()
+    def _update_shares(self, new_accounts: set[Account]) -> None:
+        lost = self._lost_vms()
         now = self._clock()
-        due = now - self._rebalanced >= REBALANCE_EVERY
+        due = now - self._rebalanced_at >= REBALANCE_INTERVAL_S
         if due:
-            self._rebalanced = now
+            self._rebalanced_at = now
         for account, obj in list(self._objects.items()):
             record = self._limiter.record(account)
             if record.generation != obj.spec.get("generation"):
                 continue
-            if account in fresh:
+            if account in new_accounts:
                 continue
-            if gone & set(record.parts) and self._is_reclaimer(record, gone):
+            if lost & set(record.parts) and self._is_reclaimer(record, lost):
                 live = {*self._live(), self._limiter.vm}
-                if self._write(account, reclaim(record, gone, live)):
-                    self._repeat_revoked()
+                if self._write(account, reclaim(record, lost, live)):
+                    self._resend_revoked()
             elif self._limiter.vm in record.parts:
-                self._move(account, record, due)
+                self._move_share(account, record, due)
 
-    def _note_revoked(
+    def _record_revoked(
         self, account: Account, old: ShareRecord, new: ShareRecord
     ) -> None:
         # Only VMs missing from the platform's list: requests that one admitted
         # before a clean stop may still wait for an upstream, and are good.
         for vm in set(old.parts) - set(new.parts):
-            if vm in self._gone_since:
+            if vm in self._lost_since:
                 self._revoked.append(ShareRevoked(account, vm, new.generation))
 
-    def _repeat_revoked(self) -> None:
+    def _resend_revoked(self) -> None:
         # Told again at each look: a sidecar linked since does not know them.
         for msg in self._revoked:
-            self._tell_revoked(msg)
+            self._broadcast_revoked(msg)
 
-    def _is_reclaimer(self, record: ShareRecord, gone: set[Vm]) -> bool:
-        left = sorted(set(record.parts) - gone)
-        return not left or left[0] == self._limiter.vm
+    def _is_reclaimer(self, record: ShareRecord, lost: set[Vm]) -> bool:
+        remaining = sorted(set(record.parts) - lost)
+        return not remaining or remaining[0] == self._limiter.vm
 
-    def _move(self, account: Account, record: ShareRecord, due: bool) -> None:
-        me = self._limiter.vm
-        if self._limiter.parts(account) < record.parts[me]:
+    def _move_share(self, account: Account, record: ShareRecord, due: bool) -> None:
+        own_vm = self._limiter.vm
+        if self._limiter.parts(account) < record.parts[own_vm]:
             # A write of ours had no answer and no effect so far. Another version
             # makes it fail for good, and only then the share may grow back.
             self._write(account, ShareRecord(record.generation + 1, record.parts))
             return
         new = None
         others = [vm for vm in self._live() if vm not in record.parts]
-        if len(record.parts) < HOLDERS and others and record.holders()[0] == me:
-            new = join(record, me, ranked(account, others)[0])
-            self._spreading = new is not None
+        if len(record.parts) < MAX_HOLDERS and others and record.holders()[0] == own_vm:
+            new = split_share(record, own_vm, rank_vms(account, others)[0])
+            self._needs_holders = new is not None
         elif due:
             demand: dict[Vm, float] = {}
-            self._limiter.apply(account, _take_demand(demand))
-            new = rebalance(record, me, demand)
+            self._limiter.apply(account, _drain_demand(demand))
+            new = rebalance(record, own_vm, demand)
         if new is not None:
-            self._give(account, new)
+            self._transfer(account, new)
 
-    def _give(self, account: Account, new: ShareRecord) -> bool:
+    def _transfer(self, account: Account, new: ShareRecord) -> bool:
         # The share shrinks here before the record is written. When the write's
         # answer is lost it stays small until a newer record is seen.
         shrunk: list[bool] = []
-        self._limiter.apply(account, _yielder(new, shrunk))
+        self._limiter.apply(account, _shrink_step(new, shrunk))
         if not all(shrunk) or not shrunk:
             return False
         return self._write(account, new)
@@ -240,66 +240,66 @@
             log("share_write_failed", account=account, error=result.failure().detail)
             return False
         self._objects[account] = result.unwrap()
-        self._note_revoked(account, self._limiter.record(account), new)
+        self._record_revoked(account, self._limiter.record(account), new)
         log("share_moved", account=account, generation=new.generation)
-        self._limiter.apply(account, lambda lim, now: lim.learn(new, now))
-        self._limiter.tell_record(account, self._live())
+        self._limiter.apply(account, lambda lim, now: lim.adopt(new, now))
+        self._limiter.broadcast_record(account, self._live())
         return True
 
-    def _release(self, account: Account, until: float) -> None:
-        me = self._limiter.vm
-        while self._clock() < until:
+    def _release(self, account: Account, deadline: float) -> None:
+        own_vm = self._limiter.vm
+        while self._clock() < deadline:
             obj = self._store.get(Kind.SHARE, account)
             if not isinstance(obj, Success):
                 if obj.failure().error is not StoreError.UNAVAILABLE:
                     return
             else:
                 self._objects[account] = obj.unwrap()
-                record = from_spec(obj.unwrap().spec).value_or(NOBODY)
-                if me not in record.parts:
+                record = from_spec(obj.unwrap().spec).value_or(NO_PARTS)
+                if own_vm not in record.parts:
                     return
-                heirs = set(self._live())
-                if self._give(account, release(record, me, heirs)):
+                successors = set(self._live())
+                if self._transfer(account, release(record, own_vm, successors)):
                     return
-            threading.Event().wait(FIRST)
+            threading.Event().wait(RETRY_INTERVAL_S)
 
     # -- VMs that have gone ----------------------------------------------------
 
-    def _gone(self) -> set[Vm]:
+    def _lost_vms(self) -> set[Vm]:
         listing = self._store.list_all(Kind.VM)
         now = self._clock()
         if not isinstance(listing, Success):
             # Time without a list does not count: it says nothing of any VM.
-            self._gone_since.clear()
+            self._lost_since.clear()
             return set()
         listed = {Vm(obj.name) for obj in listing.unwrap().items}
         if self._limiter.vm not in listed:
-            self._gone_since.clear()
+            self._lost_since.clear()
             return set()
-        held: set[Vm] = set()
+        holders: set[Vm] = set()
         for account in self._objects:
-            held |= set(self._limiter.record(account).parts)
-        missing = held - listed
-        self._gone_since = {vm: self._gone_since.get(vm, now) for vm in missing}
-        return {vm for vm, t in self._gone_since.items() if now - t >= RECLAIM_AFTER}
+            holders |= set(self._limiter.record(account).parts)
+        missing = holders - listed
+        self._lost_since = {vm: self._lost_since.get(vm, now) for vm in missing}
+        return {vm for vm, t in self._lost_since.items() if now - t >= RECLAIM_AFTER_S}
 
 
 Step = Callable[[AccountLimiter, float], list[Action]]
 
 
-def _take_demand(into: dict[Vm, float]) -> Step:
+def _drain_demand(target: dict[Vm, float]) -> Step:
     def step(limiter: AccountLimiter, now: float) -> list[Action]:
-        into.update(limiter.demand)
+        target.update(limiter.demand)
         limiter.demand.clear()
         return []
 
     return step
 
 
-def _yielder(new: ShareRecord, shrunk: list[bool]) -> Step:
+def _shrink_step(new: ShareRecord, shrunk: list[bool]) -> Step:
     def step(limiter: AccountLimiter, now: float) -> list[Action]:
-        limiter.share.look(now)
-        shrunk.append(limiter.share.yield_to(new, now))
+        limiter.share.advance(now)
+        shrunk.append(limiter.share.shrink_to(new, now))
         return limiter.tick(now)
 
     return step
--- a/src/persimmonhitch/play/limits_play.py
+++ b/src/persimmonhitch/play/limits_play.py
@@ -11,7 +11,7 @@
 
 from ..ids import Vm
 from ..limits.record import PARTS, ShareRecord, rebalance, reclaim
-from ..limits.share import RECLAIM_AFTER
+from ..limits.share import RECLAIM_AFTER_S
 from .limits_world import Outcome, World, plan, worst_window
 from .registry import PLAYS
 
@@ -153,7 +153,7 @@
             record = rebalance(self.world.record, vm, limiter.demand)
             limiter.demand.clear()
             if record is not None:
-                limiter.share.yield_to(record, self.world.now)
+                limiter.share.shrink_to(record, self.world.now)
                 self.world.set_record(record, delay=1.0)
                 self._moves += 1
 
@@ -162,7 +162,7 @@
         match self.fault:
             case "death":
                 at(FAULT_AT, self._kill)
-                taken = OWNER_LEASE if self.way.lease else RECLAIM_AFTER + LIST_LAG
+                taken = OWNER_LEASE if self.way.lease else RECLAIM_AFTER_S + LIST_LAG
                 at(FAULT_AT + taken, self._take_over)
             case "restart":
                 at(FAULT_AT, self._kill)
@@ -217,7 +217,7 @@
         for arrival in self.sent:
             live = self._vms
             if self._fault in ("death", "restart", "freeze"):
-                gone = RECLAIM_AFTER if self._fault == "death" else FROZEN_FOR
+                gone = RECLAIM_AFTER_S if self._fault == "death" else FROZEN_FOR
                 if FAULT_AT <= arrival.time < FAULT_AT + gone:
                     live = self._vms[1:]
             outcomes.append(
--- a/src/persimmonhitch/play/limits_world.py
+++ b/src/persimmonhitch/play/limits_world.py
@@ -88,14 +88,14 @@
         """Start the process of a VM, with nothing but the record."""
         limiter = AccountLimiter(vm, ACCOUNT, self.plan, self.now, self._loan)
         self.limiters[vm] = limiter
-        self._do(vm, limiter.learn(self.record, self.now))
+        self._do(vm, limiter.adopt(self.record, self.now))
         self._beat(vm, limiter)
 
     def _beat(self, vm: Vm, limiter: AccountLimiter) -> None:
         if self.limiters.get(vm) is not limiter:
             return
         self._on(vm, lambda lim: lim.tick(self.now))
-        if limiter.share.doubtful and self.now >= self.frozen.get(vm, 0.0):
+        if limiter.share.unconfirmed and self.now >= self.frozen.get(vm, 0.0):
             record = self.record
             self._on(vm, lambda lim: lim.confirm(record, self.now, self.now))
         self.at(self.now + HEARTBEAT, lambda: self._beat(vm, limiter))
@@ -115,7 +115,7 @@
             self.at(self.now + delay * self._rng.random(), self._learner(vm, record))
 
     def _learner(self, vm: Vm, record: ShareRecord) -> Callable[[], None]:
-        return lambda: self._on(vm, lambda limiter: limiter.learn(record, self.now))
+        return lambda: self._on(vm, lambda limiter: limiter.adopt(record, self.now))
 
     def set_plan(self, allowed: PlanEntry, delay: float = 0.0) -> None:
         """Let every VM take a plan, each up to ``delay`` seconds later."""
--- a/src/persimmonhitch/sidecar/server.py
+++ b/src/persimmonhitch/sidecar/server.py
@@ -156,7 +156,7 @@
     @take.register
     def _(self, msg: ShareRevoked, link: Link) -> None:
         with self._lock:
-            self._revoked.note(msg)
+            self._revoked.add(msg)
 
     @take.register
     def _(self, msg: Cancel, link: Link) -> None:
--- a/tests/test_limits_golden.py
+++ b/tests/test_limits_golden.py
@@ -11,7 +11,7 @@
 RATE, BURST, COST = 200.0, 200.0, 10.0
 JITTER = 0.5
 """Seconds by which a call may run later than it was admitted, on a busy machine."""
-FLOODERS = 6
+SENDERS = 6
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SLOTS = "/v1/services/ledger/slots"
 
@@ -42,7 +42,7 @@
         self.fleet, self.entries = fleet, list(entries)
         self.stopping = threading.Event()
         self.threads = [
-            threading.Thread(target=self.run, args=(seed,)) for seed in range(FLOODERS)
+            threading.Thread(target=self.run, args=(seed,)) for seed in range(SENDERS)
         ]
         for thread in self.threads:
             thread.start()
@@ -68,12 +68,12 @@
     return sorted(answer.json()["times"])
 
 
-def most_over(found):
+def peak_usage(times):
     """Return the largest part of rate and burst that any window has used."""
     worst = 0.0
-    for first, start in enumerate(found):
-        for last in range(first, len(found)):
-            allowed = RATE * (found[last] - start + JITTER) + BURST
+    for first, start in enumerate(times):
+        for last in range(first, len(times)):
+            allowed = RATE * (times[last] - start + JITTER) + BURST
             worst = max(worst, COST * (last - first + 1) / allowed)
     return worst
 
@@ -104,7 +104,7 @@
     before = len(times(fleet))
     wait_for(lambda: len(times(fleet)) > before + 40, "the flood after the thaw")
     flood.stop()
-    worst = most_over(times(fleet))
+    worst = peak_usage(times(fleet))
     print(f"largest part of rate and burst used in a window: {worst:.3f}")
     session.add("flood over rate and burst:", worst > 1.0)
     threading.Event().wait(2.0)
--- a/tests/test_limits_record.py
+++ b/tests/test_limits_record.py
@@ -5,16 +5,16 @@
 from returns.result import Success
 
 from persimmonhitch.limits.record import (
-    HOLDERS,
-    NOBODY,
+    MAX_HOLDERS,
+    NO_PARTS,
     PARTS,
     ShareRecord,
-    found,
+    allocate,
     from_spec,
-    join,
     rebalance,
     reclaim,
     release,
+    split_share,
 )
 
 FOUR = ShareRecord(3, {f"vm{n}": PARTS // 4 for n in range(4)})
@@ -25,9 +25,9 @@
 @pytest.mark.parametrize(
     ("record", "holders"),
     [
-        (found(NOBODY, "coop", FLEET), HOLDERS),
-        (found(NOBODY, "coop", ["vm7"]), 1),
-        (join(ONE, "vm0", "vm1"), 2),
+        (allocate(NO_PARTS, "coop", FLEET), MAX_HOLDERS),
+        (allocate(NO_PARTS, "coop", ["vm7"]), 1),
+        (split_share(ONE, "vm0", "vm1"), 2),
         (release(FOUR, "vm1"), 3),
         (release(ONE, "vm0", ["vm0", "vm5"]), 1),
         (reclaim(FOUR, ["vm0", "vm2", "vm9"], FLEET), 2),
@@ -46,8 +46,8 @@
 @pytest.mark.parametrize(
     "record",
     [
-        join(FOUR, "vm0", "vm9"),
-        join(ONE, "vm1", "vm2"),
+        split_share(FOUR, "vm0", "vm9"),
+        split_share(ONE, "vm1", "vm2"),
         rebalance(FOUR, "vm0", {"vm0": 5.0, "vm1": 6.0}),
         rebalance(FOUR, "vm9", {"vm0": 5.0}),
         rebalance(ShareRecord(1, {"vm0": 600_000, "vm1": 400_000}), "vm0", {"vm1": 9}),
--- a/tests/test_limits_runtime.py
+++ b/tests/test_limits_runtime.py
@@ -9,11 +9,11 @@
 from returns.result import Success
 
 from persimmonhitch.catalog.model import AccountEntry, Catalog
-from persimmonhitch.limits.keeper import RecordKeeper
 from persimmonhitch.limits.limiter import Limiter
 from persimmonhitch.limits.messages import ShareRevoked
 from persimmonhitch.limits.record import PARTS
 from persimmonhitch.limits.revoked import RevokedShares
+from persimmonhitch.limits.share_manager import ShareManager
 from persimmonhitch.play.limits_world import ACCOUNT, plan
 from persimmonhitch.standin.store_state import StoreState
 from persimmonhitch.store.objects import Kind
@@ -21,7 +21,7 @@
 from persimmonhitch.wire.codec import decode, encode
 
 
-class FakeMesh:
+class FakeLinks:
     """Delivers messages between limiters of one process, through the codec."""
 
     def __init__(self):
@@ -30,29 +30,29 @@
         self.pool = ThreadPoolExecutor(1)
 
     def of(self, vm):
-        mesh = self
+        links = self
 
-        class One:
+        class Link:
             def on(self, kind, handler):
-                mesh.handlers[vm, kind] = handler
+                links.handlers[vm, kind] = handler
 
             def send(self, to, msg):
-                handler = mesh.handlers.get((to, type(msg)))
-                if handler is None or to in mesh.cut or vm in mesh.cut:
+                handler = links.handlers.get((to, type(msg)))
+                if handler is None or to in links.cut or vm in links.cut:
                     return False
-                mesh.pool.submit(handler, vm, decode(encode(msg)).unwrap())
+                links.pool.submit(handler, vm, decode(encode(msg)).unwrap())
                 return True
 
-        return One()
+        return Link()
 
 
 class Fleet:
-    """Entries' limiters and keepers over one fake store."""
+    """Entries' limiters and managers over one fake store."""
 
     def __init__(self, names, rate=1000.0, burst=500.0):
-        self.store, self.mesh = StoreState(), FakeMesh()
+        self.store, self.links = StoreState(), FakeLinks()
         self.names = names
-        self.limiters, self.keepers = {}, {}
+        self.limiters, self.managers = {}, {}
         for vm in names:
             self.start(vm, plan(rate, burst))
 
@@ -61,12 +61,12 @@
             plans={allowed.name: allowed},
             accounts={ACCOUNT: AccountEntry(ACCOUNT, allowed.name)},
         )
-        limiter = Limiter(vm, self.mesh.of(vm))
+        limiter = Limiter(vm, self.links.of(vm))
         limiter.update(catalog)
         others = [name for name in self.names if name != vm]
-        keeper = RecordKeeper(self.store, limiter, lambda: others)
+        manager = ShareManager(self.store, limiter, lambda: others)
         limiter.start()
-        self.limiters[vm], self.keepers[vm] = limiter, keeper
+        self.limiters[vm], self.managers[vm] = limiter, manager
 
     def close(self):
         for limiter in self.limiters.values():
@@ -75,27 +75,27 @@
 
 @pytest.fixture
 def fleet(monkeypatch):
-    monkeypatch.setattr("persimmonhitch.limits.keeper.FOUND_AFTER", 0.0)
+    monkeypatch.setattr("persimmonhitch.limits.share_manager.CREATE_DELAY_S", 0.0)
     made = Fleet(["vm0", "vm1", "vm2"])
-    others, made.keepers["vm0"]._live = made.keepers["vm0"]._live, lambda: []
-    made.keepers["vm0"].look()
-    made.keepers["vm0"]._live = others
+    others, made.managers["vm0"]._live = made.managers["vm0"]._live, lambda: []
+    made.managers["vm0"].poll()
+    made.managers["vm0"]._live = others
     for vm in made.names[1:]:
-        made.keepers[vm].look()
+        made.managers[vm].poll()
     yield made
     made.close()
 
 
-def test_a_new_holder_hears_of_its_share_at_once(fleet):
+def test_new_holder_receives_its_share_at_once(fleet):
     """The store goes down just after a share has moved, before anybody has read the
     record again. The new holder must know of its share all the same, or the account
     would miss that part of its rate for the whole outage."""
-    fleet.keepers["vm0"].look()
+    fleet.managers["vm0"].poll()
     fleet.store.faults.down = True
     record = fleet.limiters["vm0"].record(ACCOUNT)
-    taker = next(vm for vm in record.parts if vm != "vm0")
+    new_holder = next(vm for vm in record.parts if vm != "vm0")
     wait_for(
-        lambda: fleet.limiters[taker].parts(ACCOUNT) == record.parts[taker],
+        lambda: fleet.limiters[new_holder].parts(ACCOUNT) == record.parts[new_holder],
         "the new holder to know",
     )
 
@@ -130,7 +130,7 @@
     assert all(exc.retry_after and exc.retry_after > 0 for _, exc in refusals)
 
 
-def test_tokens_not_used_come_back(fleet):
+def test_unused_tokens_are_refunded(fleet):
     """A caller reserves much output and uses little. Without the refund it would be
     refused though it is within its rate, also through an entry without a share."""
     for _ in range(30):
@@ -139,13 +139,13 @@
         fleet.limiters["vm2"].settle(result.unwrap(), 1.0)
 
 
-def test_more_than_the_burst_is_never_waited_for(fleet):
+def test_cost_above_the_burst_is_refused_at_once(fleet):
     refusal = fleet.limiters["vm1"].reserve(ACCOUNT, 501.0, 5.0).failure()
     assert refusal.code is ErrorCode.RATE_LIMITED
     assert refusal.retry_after is None
 
 
-def test_plan_changes_take_hold_while_a_request_waits(fleet):
+def test_plan_change_applies_to_a_waiting_request(fleet):
     """A request waits for tokens of a slow plan, and the operator raises the plan.
     The request must go on at once instead of being refused."""
     fleet.limiters["vm0"].reserve(ACCOUNT, 500.0, 0.1)
@@ -164,10 +164,10 @@
     )
 
 
-def test_clean_stop_gives_the_share_to_another(fleet):
+def test_clean_stop_transfers_the_share(fleet):
     """An entry is replaced. Its share must go to one that stays, or the account
     would miss that part of its rate until the platform's list forgets the VM."""
-    fleet.keepers["vm0"].close()
+    fleet.managers["vm0"].close()
     record = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap()
     assert "vm0" not in record.spec["parts"]
     assert sum(record.spec["parts"].values()) == PARTS
@@ -176,32 +176,32 @@
 def test_lost_answer_of_a_move_keeps_the_share_small(fleet):
     """A holder gives half its share away and the store's answer is lost. Whether the
     write took effect is not known, so the holder must not use that half again."""
-    keeper, limiter = fleet.keepers["vm0"], fleet.limiters["vm0"]
-    keeper._objects[ACCOUNT] = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap()
+    manager, limiter = fleet.managers["vm0"], fleet.limiters["vm0"]
+    manager._objects[ACCOUNT] = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap()
     fleet.store.faults.lost_answers = 1
-    keeper._tend(set())
+    manager._update_shares(set())
     parts = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
     assert limiter._accounts[ACCOUNT].share.parts <= parts["vm0"] < PARTS
-    keeper.look()
+    manager.poll()
     parts = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
     assert limiter.record(ACCOUNT).parts == parts
     assert limiter.parts(ACCOUNT) == parts["vm0"]
 
 
-def test_move_that_never_arrived_is_undone(fleet):
+def test_failed_move_is_undone(fleet):
     """A holder tries to give half its share away while the store is down. The write
     never arrives, and once the store is back the holder must use its whole share
     again, but only after the lost write can no longer take effect."""
-    keeper, limiter = fleet.keepers["vm0"], fleet.limiters["vm0"]
-    keeper._live = lambda: ["vm1"]
-    keeper.look()
+    manager, limiter = fleet.managers["vm0"], fleet.limiters["vm0"]
+    manager._live = lambda: ["vm1"]
+    manager.poll()
     fleet.store.faults.down = True
-    keeper._live = lambda: ["vm2"]
-    keeper._tend(set())
+    manager._live = lambda: ["vm2"]
+    manager._update_shares(set())
     assert limiter.parts(ACCOUNT) == PARTS // 4
     fleet.store.faults.down = False
-    keeper._live = lambda: []
-    keeper.look()
+    manager._live = lambda: []
+    manager.poll()
     assert limiter.parts(ACCOUNT) == PARTS // 2
     assert fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["generation"] == 3
 
@@ -210,17 +210,17 @@
     """The platform's list lags and its answer may miss. Only a VM that has been
     missing for long, from a list that names this VM, loses its share."""
     now, told = [0.0], []
-    keeper = RecordKeeper(
+    manager = ShareManager(
         fleet.store, fleet.limiters["vm1"], lambda: [], told.append, lambda: now[0]
     )
-    keeper.look()
+    manager.poll()
     assert "vm0" in fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
     fleet.store.create(Kind.VM, "vm1", {})
     for now[0] in (10.0, 39.0):
-        keeper.look()
+        manager.poll()
         assert "vm0" in fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
     now[0] = 41.0
-    keeper.look()
+    manager.poll()
     assert "vm0" not in fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
     assert told == [ShareRevoked(ACCOUNT, "vm0", 2)]
 
@@ -233,7 +233,7 @@
     """A VM that the platform's list has lost runs on, cut off, and admits requests
     from a share that others have now. A sidecar refuses those, and only those."""
     revoked = RevokedShares()
-    revoked.note(ShareRevoked(ACCOUNT, "vm0", 2))
+    revoked.add(ShareRevoked(ACCOUNT, "vm0", 2))
     refusal = revoked.refusal(ACCOUNT, giver, generation)
     assert (refusal is not None) is refused
     if refusal is not None:
--- a/tests/test_limits_safety.py
+++ b/tests/test_limits_safety.py
@@ -7,17 +7,17 @@
 from persimmonhitch.limits.account import AccountLimiter
 from persimmonhitch.limits.actions import Admit
 from persimmonhitch.limits.bucket import Bucket
-from persimmonhitch.limits.messages import Borrow, PoolAsk, Pooled, Refund
+from persimmonhitch.limits.messages import Borrow, Pooled, PoolRequest, Refund
 from persimmonhitch.limits.record import (
-    NOBODY,
+    NO_PARTS,
     PARTS,
     ShareRecord,
-    found,
-    join,
+    allocate,
     reclaim,
     release,
+    split_share,
 )
-from persimmonhitch.limits.share import MAX_PAUSE
+from persimmonhitch.limits.share import MAX_PAUSE_S
 from persimmonhitch.play.limits_play import Run, Way, exact
 from persimmonhitch.play.limits_world import ACCOUNT, World, plan, worst_window
 
@@ -40,7 +40,7 @@
     st.sampled_from([25.0, 60.0, 200.0]),
     GAP,
 )
-FULL = 11.0
+FILL_TIME_S = 11.0
 """Seconds in which an idle account fills its burst and all leases and loans end."""
 
 
@@ -50,14 +50,14 @@
     def __init__(self, seed, loss, twice, changes):
         self.changes = changes
         self.world = World(6, PLANS[0], seed, loss, twice)
-        self.world.set_record(found(NOBODY, ACCOUNT, self.world.names), delay=1.0)
+        self.world.set_record(allocate(NO_PARTS, ACCOUNT, self.world.names), delay=1.0)
         self.placed = []
         self.plans = [(0.0, PLANS[0])]
 
     def play(self, step):
         fill, events, targets, tokens, gap = step
         if fill:
-            self.wait(FULL)
+            self.wait(FILL_TIME_S)
         for (kind, *args), pause in events:
             getattr(self, kind)(*args)
             self.wait(pause)
@@ -116,10 +116,10 @@
         limiter = self.world.limiters.get(vm)
         if limiter is None or self.world.now < self.world.frozen.get(vm, 0.0):
             return
-        limiter.share.look(self.world.now)
+        limiter.share.advance(self.world.now)
         new = release(limiter.share.record, vm)
         current = limiter.share.record.generation == self.world.record.generation
-        if limiter.share.yield_to(new, self.world.now) and current:
+        if limiter.share.shrink_to(new, self.world.now) and current:
             self.world.set_record(new, delay=1.0)
 
     def join(self, number, other):
@@ -127,10 +127,10 @@
         limiter = self.world.limiters.get(vm)
         if limiter is None or self.world.now < self.world.frozen.get(vm, 0.0):
             return
-        limiter.share.look(self.world.now)
-        new = join(limiter.share.record, vm, taker)
+        limiter.share.advance(self.world.now)
+        new = split_share(limiter.share.record, vm, taker)
         current = limiter.share.record.generation == self.world.record.generation
-        if new and limiter.share.yield_to(new, self.world.now) and current:
+        if new and limiter.share.shrink_to(new, self.world.now) and current:
             self.world.set_record(new, delay=1.0)
 
     def reclaim(self, number, _other):
@@ -138,7 +138,7 @@
         # without asking whether its share is still its own.
         vm = self.world.names[number]
         self.world.kill(vm)
-        self.world.run(self.world.now + MAX_PAUSE)
+        self.world.run(self.world.now + MAX_PAUSE_S)
         live = [other for other in self.world.names if other != vm]
         self.world.set_record(reclaim(self.world.record, [vm], live), delay=1.0)
 
@@ -217,7 +217,7 @@
     the others are refused for no longer than its lease; after that only its own part
     of the rate is missing until the platform's list says that it has gone."""
     world = World(6, plan(1000.0, 5000.0), seed=1)
-    record = found(NOBODY, ACCOUNT, world.names)
+    record = allocate(NO_PARTS, ACCOUNT, world.names)
     world.set_record(record)
     home = record.holders()[0]
     others = [vm for vm in world.names if vm != home]
@@ -245,8 +245,8 @@
     bucket.advance(10.0)
     assert bucket.spend(100.0, 10.0)
     assert bucket.spend(100.0, 30.0)
-    assert bucket.credit(60.0, since=10.0, now=30.0) == 0.0
-    assert bucket.credit(60.0, since=30.0, now=31.0) == 60.0
+    assert bucket.credit(60.0, charged_at=10.0, now=30.0) == 0.0
+    assert bucket.credit(60.0, charged_at=30.0, now=31.0) == 60.0
     assert not bucket.spend(80.0, 31.0)
 
 
@@ -255,7 +255,7 @@
     it, so that both together could spend twice the burst at once."""
     bucket = Bucket(rate=1000.0, cap=100.0, now=0.0)
     bucket.advance(1.0)
-    loan = bucket.lend(100.0, 1.0, until=2.0)
+    loan = bucket.lend(100.0, 1.0, expires_at=2.0)
     bucket.advance(1.9)
     assert bucket.level == 0.0
     assert bucket.repay(loan, 30.0, 1.9) == 30.0
@@ -267,14 +267,14 @@
     """Return a limiter whose time as a new process is over, and its record."""
     ids = iter(range(1000))
     limiter = AccountLimiter(vm, ACCOUNT, PLANS[0], now, lambda: f"{vm}-{next(ids)}")
-    limiter.learn(ShareRecord(1, parts), now)
+    limiter.adopt(ShareRecord(1, parts), now)
     return limiter
 
 
 HALVES = {"vm0": PARTS // 2, "vm1": PARTS // 2}
 
 
-def test_new_process_leaves_its_share_alone_for_a_lease():
+def test_new_process_waits_for_one_lease():
     """An entry is killed after it lent its whole share, and starts anew at once. The
     other one may use that share until the lease ends; both must not."""
     limiter = account_limiter("vm0", HALVES)
@@ -288,13 +288,13 @@
     the new holder must not refill, or the account gets those tokens twice."""
     limiter = account_limiter("vm0", {"vm1": PARTS})
     limiter.tick(5.0)
-    limiter.learn(ShareRecord(2, HALVES), 5.0)
+    limiter.adopt(ShareRecord(2, HALVES), 5.0)
     for now, level in ((5.2, 0.0), (5.275, 0.0), (6.275, 50.0)):
         limiter.tick(now)
         assert limiter.share.bucket.level == pytest.approx(level)
 
 
-def test_second_copy_of_a_refund_makes_no_tokens():
+def test_duplicate_refund_is_credited_once():
     """A refund is delivered twice. Credited twice it would make tokens."""
     limiter = account_limiter("vm0", HALVES)
     for now in (4.0, 8.0, 12.0):
@@ -306,15 +306,15 @@
     assert limiter.share.bucket.level == pytest.approx(before - 40.0)
 
 
-def test_pooled_share_ends_by_the_time_of_asking():
+def test_pool_lease_counts_from_the_request():
     """The answer that lends a share is held up for seconds. Counted from its arrival
     the lease would outlast the giver's, and two VMs would spend one share."""
     limiter = account_limiter("vm0", HALVES)
     for now in (2.0, 4.9):
         limiter.tick(now)
     sent = limiter.reserve(1, 400.0, 30.0, 5.0)
-    (ask,) = [send.msg for send in sent if isinstance(send.msg, PoolAsk)]
-    answer = Pooled(ACCOUNT, ask.ask, "lease", PARTS // 2, 0.0, 4.0, 1)
+    (ask,) = [send.msg for send in sent if isinstance(send.msg, PoolRequest)]
+    answer = Pooled(ACCOUNT, ask.request_id, "lease", PARTS // 2, 0.0, 4.0, 1)
     limiter.receive("vm1", answer, 5.2)
     assert limiter.share.in_use == PARTS
     limiter.tick(8.9)
@@ -322,7 +322,7 @@
     assert limiter.share.in_use == PARTS // 2
 
 
-def test_frozen_process_asks_before_it_admits():
+def test_resumed_process_confirms_its_share_first():
     """A process stands still for ten minutes and its share is taken meanwhile. What
     it was told before the pause must not let it spend the share once more."""
     limiter = account_limiter("vm0", HALVES)
