--- a/src/persimmonhitch/fleet/call.py
+++ b/src/persimmonhitch/fleet/call.py
@@ -74,7 +74,7 @@
     has_signature: bool
     """Whether the reply is signed by the upstream that ran the request."""
     not_run: bool
-    """Whether the upstream states that it did not run the request."""
+    """Whether the upstream reports that the request was not run."""
     request_id: RequestId | None
     instance: Upstream | None
     load: ServerLoad | None
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -122,4 +122,4 @@
 
 
 EMPTY_CONFIG = FleetConfig(ConfigVersion(0))
-"""Configuration in force until one has been read from the store."""
+"""Configuration in force until the first one is read from the store."""
--- a/src/persimmonhitch/fleet/routes.py
+++ b/src/persimmonhitch/fleet/routes.py
@@ -28,8 +28,8 @@
     def find(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of ``path``, or None.
 
-        The cost is one dictionary lookup per slash of the path, however many routes
-        there are.
+        The cost is one dictionary lookup per slash of the path, independent of the
+        number of routes.
         """
         prefixes = self._hosts.get(host_name(host))
         if prefixes is None:
--- a/src/persimmonhitch/fleet/upstream.py
+++ b/src/persimmonhitch/fleet/upstream.py
@@ -15,7 +15,8 @@
     """Resident and cached models of an engine after ``order_count`` orders.
 
     The engine counts accepted orders from zero at each start and reports the count.
-    Its registration record in the store omits it; then it is ``NOT_COUNTED``.
+    Its registration record in the store omits the count, which is then
+    ``NOT_COUNTED``.
     """
 
     order_count: int
--- a/src/persimmonhitch/ids.py
+++ b/src/persimmonhitch/ids.py
@@ -18,7 +18,7 @@
 Fingerprint = NewType("Fingerprint", str)
 """Hash of path, client account and body; equal for all repeats of a request."""
 Incarnation = NewType("Incarnation", str)
-"""One run of a process; a restarted process has a new one."""
+"""Identifies one run of a process; a restart creates a new incarnation."""
 Epoch = NewType("Epoch", int)
 """Fencing token of the planner's lease; never decreases."""
 ConfigVersion = NewType("ConfigVersion", int)
--- a/src/persimmonhitch/platform/config_format.py
+++ b/src/persimmonhitch/platform/config_format.py
@@ -28,7 +28,7 @@
 
 
 def decode_config(body: Body) -> Result[FleetConfig, str]:
-    """Return the decoded configuration, or the reason why it is malformed."""
+    """Return the decoded configuration, or the reason why decoding failed."""
     try:
         accounts = [_account(item) for item in body.get("tenants") or ()]
         return Success(
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -63,7 +63,7 @@
     url : str
         Base URL, such as ``http://10.0.0.5:7000``.
     timeout : float
-        Seconds for one call other than a watch.
+        Timeout in seconds of all calls except watches.
     eras : EraState or None
         Newest observed era; shared by all clients of a process.
     """
@@ -73,7 +73,7 @@
         self._base = url.rstrip("/")
         self._timeout = timeout
         # No retries: a write whose reply was lost may have taken effect, and a blind
-        # retry would then conflict with it.
+        # retry of this write would then fail with a conflict.
         self._http = urllib3.PoolManager(
             retries=False, maxsize=MAX_CONNECTIONS, timeout=timeout
         )
@@ -157,7 +157,7 @@
         return self._decode_reply(old.kind, result)
 
     def _is_before_restore(self, version: Version) -> bool:
-        """Return whether a version is of an era before the newest observed one."""
+        """Return whether a version is of an older era than the newest observed era."""
         return era_of(version) < self._eras.current
 
     def delete(self, old: StoredObject) -> Result[None, StoreFailure]:
@@ -171,7 +171,7 @@
     def watch(
         self, kind: Kind, after: Version, wait: float
     ) -> Result[Changes, StoreFailure]:
-        """Return the changes after a version; wait up to ``wait`` seconds for one."""
+        """Return the changes after a version; wait up to ``wait`` seconds for any."""
         if self._is_before_restore(after):
             return _failure(StoreError.EXPIRED, RESTORED_DETAIL)
         revision = revision_of(after)
--- a/src/persimmonhitch/store/objects.py
+++ b/src/persimmonhitch/store/objects.py
@@ -8,7 +8,7 @@
 
 Spec = dict[str, Any]
 Version = NewType("Version", int)
-"""Version of an object or a list; all writes of the store are ordered by it."""
+"""Version of an object or a list; versions order all writes of the store."""
 
 
 class Kind(Enum):
@@ -118,7 +118,7 @@
     def watch(
         self, kind: Kind, after: Version, wait: float
     ) -> Result[Changes, StoreFailure]:
-        """Return the changes after a version; wait up to ``wait`` seconds for one.
+        """Return the changes after a version; wait up to ``wait`` seconds for any.
 
         Without changes in that time the result contains no events. Fails with
         ``EXPIRED`` if the store no longer has the history since the version.
--- a/src/persimmonhitch/store/pushes.py
+++ b/src/persimmonhitch/store/pushes.py
@@ -1,6 +1,6 @@
 """Relay of watched store changes to other processes, which then need no watch.
 
-A process that relies on the pushes of another one is its follower.
+A process that relies on the pushes of another process is called a follower.
 """
 
 import json
@@ -24,8 +24,8 @@
 FAILURE_REPORT_S: Final = 5.0
 """Time for which pushes report the last failed call to the store."""
 MAX_PUSHED_BYTES: Final = 4096
-"""Size above which an object is omitted and followers list it themselves. The link of a
-small VM would otherwise carry it once per follower."""
+"""Size above which an object is omitted from pushes, and followers list all objects.
+The link of a small VM would otherwise carry the object once per follower."""
 
 
 @dataclass(frozen=True)
--- a/src/persimmonhitch/store/registration.py
+++ b/src/persimmonhitch/store/registration.py
@@ -1,4 +1,4 @@
-"""Registration record of this process in the store, by which others discover it."""
+"""Registration record of a process in the store, by which peers discover it."""
 
 import threading
 from typing import Final
@@ -42,7 +42,7 @@
         self._changed.set()
 
     def rewrite(self) -> None:
-        """Write the record again, in case the store has lost it."""
+        """Write the record again, in case the store has lost the record."""
         if self._desired is not None:
             self._changed.set()
 
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -68,8 +68,8 @@
 class Watcher:
     """Maintains a view of one kind and calls a listener with each new view.
 
-    While the store is unavailable the last view is retained: it may be outdated, but an
-    empty view would disconnect all upstreams at once.
+    While the store is unavailable the last view is retained. An outdated view is better
+    than an empty one, which would disconnect all upstreams at once.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._max_retry_s = max_retry_s
         self._on_failure = on_failure
         self._pause_s = pause_s
-        """Delay of the next watch after changes, so that it returns several at once."""
+        """Delay of the next watch after changes, so that a watch returns several."""
         self._listener = listener
         self._on_change = on_change
         """Receives each list and change, for the relay to followers."""
@@ -116,7 +116,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the thread after its current watch call, without waiting for it."""
+        """Make the thread stop after its current watch call; return immediately."""
         self._stopping.set()
 
     def _run(self) -> None:
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -105,8 +105,8 @@
 
 
 def test_decodes_upstream_record():
-    """The sequence of a record counts heartbeats. If it were taken as the order count,
-    each order to a new engine would be refused.
+    """The sequence of a record counts heartbeats. If decoded as the order count, each
+    order to a new engine would be refused.
     """
     record = decode_upstream("i-1", RECORD)
     assert (record.host, record.port, record.started_at_ms) == ("10.1.0.9", 8080, 17)
@@ -133,8 +133,8 @@
     ],
 )
 def test_rejects_malformed_upstream_record(change):
-    """Another program writes a partly valid record. If it were used, requests would be
-    sent to an address that does not answer, or decoding would fail for all upstreams.
+    """Another program writes a partly valid record. If accepted, requests would be sent
+    to an address that does not answer, or decoding would fail for all upstreams.
     """
     with pytest.raises(InvalidUpstreamRecord):
         decode_upstream("i-1", {**RECORD, **change})
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -231,7 +231,7 @@
 
 
 def test_previous_leader_named_by_copy_waits(store):
-    """Guards against orders of two leaders, one of them named by a restored copy."""
+    """Guards against orders of two leaders, the second named by a restored copy."""
     keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
@@ -264,7 +264,7 @@
 
 
 def test_lease_is_taken_after_old_leader_expired(store):
-    """Guards against a fleet without a leader after one crashed in an outage."""
+    """Guards against a fleet without a leader after its crash in a store outage."""
     keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
