--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -195,7 +195,7 @@
         if refusal is not None:
             headers = {"X_Persimmonhitch_Not_Executed": "1"}
             return self._send(sock, refusal, **headers)
-        run = self._record_run(req, request_id)
+        run = self._start_run(req, request_id)
         if req.body.startswith(POISON_PREFIX):
             run.answer_broken = True
             self.on_poison(self)
@@ -215,7 +215,7 @@
                 return None
         return None if self.inventory.is_resident(*model.split("/", 1)) else 421
 
-    def _record_run(self, req, request_id):
+    def _start_run(self, req, request_id):
         headers = req.headers
         counts = headers.get("x-persimmonhitch-token-counts", "")
         tokens = sum(int(part) for part in counts.split(",") if part)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -114,7 +114,7 @@
     wait_for(lambda: span_names() == expected, "four spans")
 
 
-UNLOADED_MODEL = """
+UNLOADED = """
 [plan more]
 rate = 100
 burst = 500
@@ -131,9 +131,7 @@
 def test_ordinary_session(fleet):
     """One answer of each kind, compared with a golden file."""
     session = Session("ordinary")
-    fleet.apply_lists(
-        ACCOUNTS + "[account ships]\nplan = more\n", PLANS + UNLOADED_MODEL
-    )
+    fleet.apply_lists(ACCOUNTS + "[account ships]\nplan = more\n", PLANS + UNLOADED)
     fleet.issue_key("ships")
     wait_for(
         lambda: fleet.chat("entry-1", "ships", "a", 1).status == 200, "the new account"
@@ -152,8 +150,8 @@
     record("5 MiB body", fleet.request("entry-1", "POST", slots, "fretes", body=big))
     record("more than the burst", fleet.chat("entry-1", "ships", "a", 4000))
     short = {"X-Request-Timeout": "1"}
-    unloaded = {"model": "tiny-absent", "headers": short}
-    record("model not loaded", fleet.chat("entry-1", "ships", "a", 1, **unloaded))
+    absent = {"model": "tiny-absent", "headers": short}
+    record("model not loaded", fleet.chat("entry-1", "ships", "a", 1, **absent))
     tight = {"X-Request-Timeout": "0.3"}
     record("too little time", fleet.chat("entry-1", "fretes", "a", 400, headers=tight))
     token = {"Idempotency-Key": "ordinary"}
