--- a/src/persimmonhitch/kernel/lifecycle.py
+++ b/src/persimmonhitch/kernel/lifecycle.py
@@ -27,9 +27,9 @@
         """Register a stop step; the step registered last runs first."""
         self._stop_steps.append((name, step))
 
-    def on_reload(self, step: Callable[[], None]) -> None:
+    def on_reload(self, callback: Callable[[], None]) -> None:
         """Set the function that SIGHUP runs; without one, SIGHUP is only logged."""
-        self._reload = step
+        self._reload = callback
 
     def install_signals(self) -> None:
         """Handle SIGTERM, SIGINT and SIGHUP; call this before any thread starts.
@@ -62,7 +62,7 @@
         except Exception as exc:
             log("reload_failed", error=repr(exc))
 
-    def wait(self) -> None:
+    def wait_for_stop(self) -> None:
         """Block until a stop is requested."""
         self.stopping.wait()
 
--- a/src/persimmonhitch/kernel/service.py
+++ b/src/persimmonhitch/kernel/service.py
@@ -59,7 +59,7 @@
     service = build(cfg, lifecycle)
     service.start()
     lifecycle.on_stop(name, lambda: service.stop(lifecycle))
-    lifecycle.wait()
+    lifecycle.wait_for_stop()
     lifecycle.stop()
     flush_logs()
     return 0
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -95,7 +95,7 @@
     def done(self, upstream: Upstream, msg: OrderDone) -> OpenOrder | None:
         """Take an order's end; return it if it was open."""
         member = self.members.get(upstream)
-        order = None if member is None else member.orders.get(msg.order)
+        order = None if member is None else member.orders.get(msg.order_id)
         if order is not None:
             order.done = True
         return order
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -153,7 +153,9 @@
             self._rounds.retry.succeeded(place)
         elif msg.error not in IGNORED_ERRORS:
             self._rounds.retry.failed(place, self._clock())
-        log("order_ended", order=msg.order, upstream=upstream, error=msg.error or "-")
+        log(
+            "order_ended", order=msg.order_id, upstream=upstream, error=msg.error or "-"
+        )
 
     def _acting(self) -> Epoch | None:
         return self._lease.epoch() or self._lease.caretaker()
--- a/src/persimmonhitch/sidecar/orders.py
+++ b/src/persimmonhitch/sidecar/orders.py
@@ -158,14 +158,14 @@
         try:
             error = self._carry_out(order)
         except Exception as exc:
-            log("order_failed", order=order.order, error=repr(exc))
+            log("order_failed", order=order.order_id, error=repr(exc))
             error = OrderError.NO_ANSWER
         self._finish(order, done, error)
 
     def _finish(self, order: Order, done: Done, error: OrderError | None) -> None:
         text = "" if error is None else error.value
-        log("order_done", order=order.order, action=order.action, error=text or "-")
-        done(OrderDone(order.order, order.epoch, text))
+        log("order_done", order=order.order_id, action=order.action, error=text or "-")
+        done(OrderDone(order.order_id, order.epoch, text))
 
     def _carry_out(self, order: Order) -> OrderError | None:
         copy = Copy(order.model, order.adapter, order.revision)
--- a/src/persimmonhitch/standin/main.py
+++ b/src/persimmonhitch/standin/main.py
@@ -58,7 +58,7 @@
     server = WebServer(_app(args), args["--host"], int(args["--port"]), THREADS)
     server.start()
     announce(f"listening port={server.port}")
-    life.wait()
+    life.wait_for_stop()
     server.close()
     return 0
 
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -50,8 +50,8 @@
         # A chunked answer is self-delimiting, so its connection can be reused. waitress
         # closes it anyway: each client would reconnect after every stream.
         chunked = self.chunked_response and self.version == "1.1"
-        requested = self.request.headers.get("CONNECTION", "").lower()
-        if self.channel.server.keep_streams and chunked and requested != "close":
+        conn_header = self.request.headers.get("CONNECTION", "").lower()
+        if self.channel.server.keep_streams and chunked and conn_header != "close":
             return
         super().set_close_on_finish()
 
@@ -65,7 +65,7 @@
     """Answers, in the application's format, requests that the server itself refuses."""
 
     def execute(self) -> None:
-        answer = self.channel.server.refusal(self.request.error.code)
+        answer = self.channel.server.build_refusal(self.request.error.code)
         body = b"".join(answer.body)
         self.status = f"{answer.status} {HTTPStatus(answer.status).phrase}"
         self.response_headers.extend(answer.headers.items())
@@ -138,7 +138,7 @@
         host: str,
         port: int,
         threads: int,
-        refusal: RefusalBuilder = _plain_refusal,
+        build_refusal: RefusalBuilder = _plain_refusal,
         keep_streams: bool = False,
     ) -> None:
         # Idle connections occupy no thread. If callers keep many of them open, these
@@ -166,7 +166,7 @@
         self._server.keep_alive_disabled = False
         self._server.closing_idle = False
         self._server.keep_streams = keep_streams
-        self._server.refusal = refusal
+        self._server.build_refusal = build_refusal
         self._thread = threading.Thread(
             target=self._server.run, name="web-server", daemon=True
         )
--- a/src/persimmonhitch/wire/messages.py
+++ b/src/persimmonhitch/wire/messages.py
@@ -229,7 +229,7 @@
     ``memory_gib`` is the memory that a load needs, including the KV cache.
     """
 
-    order: str
+    order_id: str
     epoch: Epoch
     action: str
     model: Model
@@ -243,7 +243,7 @@
 class OrderDone:
     """Final state of an order; ``error`` is empty if the order was executed."""
 
-    order: str
+    order_id: str
     epoch: Epoch
     error: str
 
--- a/tests/test_decide_processes.py
+++ b/tests/test_decide_processes.py
@@ -9,7 +9,7 @@
 import pytest
 import test_links
 from fleet import wait_for
-from test_links import admitted, start
+from test_links import admitted, start_attempt
 
 import persimmonhitch
 from persimmonhitch.wire.messages import End
@@ -109,7 +109,7 @@
     Where the few tokens served before counted as the engine's speed, the sidecar
     predicted waits of an hour and refused requests that the engine had room for.
     """
-    joined, _ = start(engine, chat(5))
+    joined, _ = start_attempt(engine, chat(5))
     assert isinstance(joined()[-1], End)
-    burst = [start(engine, chat(5))[0] for _ in range(24)]
+    burst = [start_attempt(engine, chat(5))[0] for _ in range(24)]
     assert [type(joined()[-1]) for joined in burst] == [End] * 24
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -62,11 +62,11 @@
         self.conn.link.abort()
         wait_for(lambda: self.conn.link is None, "the link to end")
 
-    def relink(self):
+    def reconnect(self):
         assert self.conn.connect(HELLO)
         wait_for(self.conn.welcomed.is_set, "the welcome message")
 
-    def restart(self):
+    def restart_sidecar(self):
         """Replace the sidecar's dispatcher by one of a new incarnation."""
         incarnation = new_incarnation()
         call = UpstreamCall(Address("127.0.0.1", self.web.port), UpstreamKind.SERVICE)
@@ -118,7 +118,7 @@
         False,
     )
     rig = Rig(app, web, dispatcher, server, SidecarConn(info, SECRET.encode(), FEED))
-    rig.relink()
+    rig.reconnect()
     return rig
 
 
@@ -158,7 +158,7 @@
     )
 
 
-def start(rig, req):
+def start_attempt(rig, req):
     """Run an attempt on a thread; return a wait function and the list of frames."""
     frames = []
     sub = _submit(req, rig.conn, 1, time.monotonic(), 1)
@@ -178,10 +178,10 @@
     and its answer must arrive completely over the new link.
     """
     req = admitted("ledger")
-    wait_for_frames, _ = start(ledger, req)
+    wait_for_frames, _ = start_attempt(ledger, req)
     wait_for(lambda: ledger.app.runs, "the request to run")
     ledger.cut_link()
-    ledger.relink()
+    ledger.reconnect()
     frames = wait_for_frames()
     assert isinstance(frames[-1], End)
     assert ledger.app.runs == {req.request: 1}
@@ -195,10 +195,10 @@
     message = {"role": "user", "content": " ".join(words)}
     chat = {"model": "m", "messages": [message], "stream": True, "max_tokens": 20}
     req = admitted(body=json.dumps(chat).encode(), repeatable=True)
-    wait_for_frames, frames = start(engine, req)
+    wait_for_frames, frames = start_attempt(engine, req)
     wait_for(lambda: len(frames) > 5, "a few chunks")
     engine.cut_link()
-    engine.relink()
+    engine.reconnect()
     received = wait_for_frames()
     assert isinstance(received[-1], End)
     text = b"".join(f.data for f in received if isinstance(f, Chunk)).decode()
@@ -213,11 +213,11 @@
     would repeat it, and it would run twice.
     """
     req = admitted("ledger")
-    wait_for_frames, _ = start(ledger, req)
+    wait_for_frames, _ = start_attempt(ledger, req)
     wait_for(lambda: ledger.app.runs, "the request to run")
     ledger.cut_link()
-    ledger.restart()
-    ledger.relink()
+    ledger.restart_sidecar()
+    ledger.reconnect()
     last = wait_for_frames()[-1]
     assert isinstance(last, Fail)
     assert (last.code, last.verdict) == (
@@ -236,16 +236,16 @@
     sub = _submit(req, ledger.conn, 1, time.monotonic(), 1)
     link, original_send = ledger.conn.link, ledger.conn.link.send
     link.send = lambda msg: True
-    wait_for_frames, _ = start(ledger, req)
+    wait_for_frames, _ = start_attempt(ledger, req)
     wait_for(lambda: ledger.conn._exchanges, "the attempt")
     link.send = original_send
     ledger.cut_link()
-    ledger.relink()
+    ledger.reconnect()
     last = wait_for_frames()[-1]
     assert isinstance(last, Fail)
     assert last.verdict is Verdict.NOT_RUN
-    late = ledger.conn.submit(sub)
-    answer = late.get(2.0)
+    delayed = ledger.conn.submit(sub)
+    answer = delayed.get(2.0)
     assert isinstance(answer, Fail)
     assert answer.verdict is Verdict.NOT_RUN
     assert ledger.app.runs == {}
@@ -258,7 +258,7 @@
         ({"timeout_s": 0.0}, ErrorCode.DEADLINE),
     ],
 )
-def test_refused_before_it_ran(ledger, change, code):
+def test_stale_or_expired_attempt_is_refused(ledger, change, code):
     """An attempt for an earlier incarnation of the sidecar, or one past its deadline,
     must be refused with the verdict not_run.
     """
@@ -269,7 +269,7 @@
     assert ledger.app.runs == {}
 
 
-def test_same_attempt_twice_runs_once(ledger):
+def test_duplicate_attempt_runs_once(ledger):
     """A frame is delivered twice. The second must be refused with the verdict on the
     first, and the service must get one request.
     """
@@ -326,13 +326,13 @@
     short = {**chat, "messages": [{"role": "user", "content": "quick"}]}
     short["max_tokens"] = 3
     other = admitted(body=json.dumps(short).encode(), repeatable=True)
-    wait_for_frames, _ = start(engine, other)
+    wait_for_frames, _ = start_attempt(engine, other)
     assert isinstance(wait_for_frames()[-1], End)
     unread_bytes = engine.conn._exchanges[req.request][0]._unread
     assert unread_bytes < 2 * MOST_UNREAD
-    rest = list(slow)
-    assert isinstance(rest[-1], End)
-    text = b"".join(f.data for f in rest if isinstance(f, Chunk))
+    remaining = list(slow)
+    assert isinstance(remaining[-1], End)
+    text = b"".join(f.data for f in remaining if isinstance(f, Chunk))
     assert text.count(b'"content"') == 2000
 
 
@@ -346,7 +346,7 @@
         return [b"data: tide at noon\n\n"]
 
     rig = start_sidecar(events, UpstreamKind.SERVICE)
-    wait_for_frames, _ = start(rig, admitted("ledger"))
+    wait_for_frames, _ = start_attempt(rig, admitted("ledger"))
     kinds = [type(frame) for frame in wait_for_frames()]
     rig.close()
     assert kinds == [Head, Chunk, End]
