--- a/src/persimmonhitch/limits/__init__.py
+++ b/src/persimmonhitch/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Rates and bursts of client accounts, held over all VMs together."""
+"""Enforce the rate and burst of each client account across all VMs."""
--- a/src/persimmonhitch/limits/account.py
+++ b/src/persimmonhitch/limits/account.py
@@ -1,9 +1,10 @@
-"""Rate limit of one account on one VM: its queue, its loans and its pool.
+"""Rate limit of one account on one VM: request queue, token loans and share pool.
 
-Load pattern: requests of one account that arrive on any entry, faster than the
-tokens come for a while. Each is admitted, waits while tokens are on their way, or is
-refused at once when they cannot come in time. Pure state machine: every method takes
-the time and returns what to do; the runtime and the load player both drive it.
+Load pattern: requests of one account arrive at any entry, and for a while faster than
+its tokens are refilled. Each request is admitted, waits while tokens can arrive before
+its deadline, or is refused at once when they cannot. The state machine does no I/O:
+every method receives the current time and returns the actions to perform. The limiter
+and the simulation both drive it.
 """
 
 from collections import OrderedDict
@@ -30,18 +31,19 @@
 from .share import DRIFT_FACTOR, LOAN_TTL_S, POOL_TTL_S, Lease, Share
 
 MAX_GRANTED_LOANS: Final = 20_000
-"""Loans remembered for refunds; a refund of an older one is lost, never doubled."""
+"""Granted loans that can be refunded. The refund of an older loan is dropped, which
+loses tokens but never credits them twice."""
 MIN_TTL_S: Final = 0.1
-"""Seconds that a loan is asked to live at least: a pause of the interpreter."""
+"""Minimum lifetime of a loan; covers a pause of the interpreter."""
 TTL_ROUND_TRIPS: Final = 6.0
-"""Round trips that a loan is asked to live. The giver cannot refill what is out, so
-a long life makes the burst smaller (docs/notes/rate-limits.md)."""
+"""Lifetime of a loan in round trips. The lender cannot refill tokens on loan, so a long
+lifetime makes the burst smaller (docs/notes/rate-limits.md)."""
 EPSILON_TOKENS: Final = 1e-6
-"""Tokens; below it a difference is a rounding error."""
+"""Smaller differences in tokens are rounding errors."""
 
 
 class AccountLimiter:
-    """State machine of one account on one VM."""
+    """State machine for the rate limit of one account on one VM."""
 
     def __init__(
         self,
@@ -66,12 +68,12 @@
         self._active_until = now
         self._retry_at: float | None = None
 
-    # -- what the runtime calls ------------------------------------------------
+    # -- interface of the limiter ----------------------------------------------
 
     def reserve(
         self, ticket: Ticket, tokens: Tokens, timeout_s: float, now: float
     ) -> list[Action]:
-        """Ask for a request's tokens; ``Admit`` or ``Refuse`` follows by ``wait``."""
+        """Queue a request; ``Admit`` or ``Refuse`` follows within ``timeout_s``."""
         if tokens > self.share.plan.burst:
             return [Refuse(ticket, None)]
         self._active_until = now + lending.POOL_IDLE_S
@@ -79,7 +81,7 @@
         return self.tick(now)
 
     def settle(self, ticket: Ticket, used: Tokens, now: float) -> list[Action]:
-        """Give back what an admitted request did not use."""
+        """Return the tokens that an admitted request did not use."""
         charge = self._charges.pop(ticket, None)
         if charge is None:
             return []
@@ -97,7 +99,7 @@
         return actions
 
     def receive(self, vm: Vm, msg: Message, now: float) -> list[Action]:
-        """Take a message of another entry."""
+        """Process a message from another entry."""
         self.share.advance(now)
         match msg:
             case Borrow():
@@ -121,32 +123,32 @@
         return self.tick(now)
 
     def initialize(self, record: ShareRecord, now: float) -> list[Action]:
-        """Take the first record that an account ever has, full at once."""
+        """Apply the first record of an account and start with a full bucket."""
         self.share.initialize(record, now)
         return self.adopt(record, now)
 
     def adopt(self, record: ShareRecord, now: float) -> list[Action]:
-        """Take a share record, newer or not."""
+        """Apply a share record unless it is older than the current one."""
         self.share.advance(now)
         if self.share.adopt(record, now):
             self._update_views()
         return self.tick(now)
 
     def confirm(self, record: ShareRecord, as_of: float, now: float) -> list[Action]:
-        """Take a record asked for at ``asked``; it may settle a doubt."""
+        """Apply a record requested at ``as_of``, which may confirm the share."""
         self.share.advance(now)
         if self.share.confirm(record, as_of, now):
             self._update_views()
         return self.tick(now)
 
     def set_plan(self, plan: PlanEntry, now: float) -> list[Action]:
-        """Take a changed plan while requests wait."""
+        """Apply a changed plan, also to waiting requests."""
         self.share.advance(now)
         self.share.set_plan(plan, now)
         return self.tick(now)
 
     def peer_disconnected(self, vm: Vm, now: float) -> list[Action]:
-        """Stop waiting for a peer whose connection ended."""
+        """Stop waiting for answers of a peer whose connection is lost."""
         for pending in self._pending.values():
             if pending.vm == vm:
                 pending.sent_at, pending.queued = float("-inf"), False
@@ -156,17 +158,17 @@
         return self.tick(now)
 
     def peer_connected(self, vm: Vm, now: float) -> list[Action]:
-        """Use a peer whose connection is open again."""
+        """Use a peer again after its connection is reestablished."""
         self._mark_responsive(vm)
         return self.tick(now)
 
     def stop_pooling(self, now: float) -> list[Action]:
-        """Give all pooled shares back, for a stop of this process."""
+        """Return all pooled shares because this process is stopping."""
         self.share.advance(now)
         return self._return_pool(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Do what is due: admit, refuse, ask, pool, give back."""
+        """Perform all due steps: expire, admit, refuse, borrow, pool and probe."""
         usable = self.share.advance(now)
         self._retry_at = None
         self._expire_pending(now)
@@ -181,7 +183,7 @@
         return actions + self._maintain_pool(now) + self._probe_holders(now)
 
     def next_wake(self) -> float | None:
-        """Return when ``tick`` is due, or None while nothing is."""
+        """Return the time of the next due ``tick``, or None if nothing is due."""
         due_times = [waiter.deadline for waiter in self._queue]
         if self.share.unconfirmed:
             return min(due_times, default=None)
@@ -206,13 +208,13 @@
         return due
 
     def queue_length(self) -> int:
-        """Return the number of requests that wait here."""
+        """Return the number of requests that wait at this VM."""
         return len(self._queue)
 
-    # -- the giver's side ------------------------------------------------------
+    # -- lender ----------------------------------------------------------------
 
     def _on_borrow(self, vm: Vm, msg: Borrow, now: float) -> list[Action]:
-        # A second copy of a message must not take the tokens a second time.
+        # A duplicate message must not lend the tokens a second time.
         if msg.loan in self._granted or any(w.loan == msg.loan for w in self._queue):
             return []
         deadline = now + msg.timeout_s
@@ -231,8 +233,8 @@
         return actions
 
     def _pooling_holder(self) -> Vm | None:
-        # While the holder that has this share does not answer, requests wait here:
-        # the lease ends soon, and then this VM can serve them itself.
+        # While the pooling holder is unresponsive, requests wait at this VM: it can
+        # serve them from its own share as soon as the lease expires.
         lease = self.share.lent
         if lease is None:
             return None
@@ -259,8 +261,8 @@
         return Send(waiter.peer, msg)
 
     def _lend(self, waiter: Waiter, now: float) -> Action | None:
-        # The debit comes before the message: a lost message loses tokens and
-        # never makes them.
+        # Debit the tokens before sending: a lost message then loses tokens instead
+        # of duplicating them.
         expires_at = now + min(waiter.ttl_s, LOAN_TTL_S) * DRIFT_FACTOR
         loan = self.share.bucket.lend(waiter.tokens, now, expires_at)
         if loan is None:
@@ -278,8 +280,8 @@
     def _on_pool_request(self, vm: Vm, msg: PoolRequest, now: float) -> list[Action]:
         share = self.share
         if msg.lease_id is not None:
-            # A peer that cannot reach the home holder waits here: the share has to
-            # come back, or that peer would be refused however little it sends.
+            # A waiting peer cannot reach the home holder. Unless the lease ends, this
+            # VM has no tokens to lend and the peer is refused even at a low rate.
             peer_waiting = any(w.peer is not None for w in self._queue)
             ok = not peer_waiting and share.extend(vm, msg.lease_id, now)
             return [self._pool_reply(vm, msg.request_id, msg.lease_id, 0.0, ok, now)]
@@ -304,7 +306,7 @@
         msg = Pooled(self.account, req, lease, parts, Tokens(tokens), ttl_s, generation)
         return Send(vm, msg)
 
-    # -- the borrower's side ---------------------------------------------------
+    # -- borrower --------------------------------------------------------------
 
     def _mark_responsive(self, vm: Vm) -> None:
         view = self._views.get(vm)
@@ -312,8 +314,8 @@
             view.mark_responsive()
 
     def _pop_pending(self, vm: Vm, request_id: LoanId) -> PendingRequest | None:
-        # An answer to an ask that was given up, or its second copy, is dropped:
-        # its tokens are lost, where taking them could make some.
+        # Drop an answer after the timeout and a duplicate answer: this loses tokens,
+        # whereas accepting them could spend the same tokens twice.
         pending = self._pending.get(request_id)
         if pending is None or pending.vm != vm:
             return None
@@ -347,7 +349,8 @@
         return self.tick(now)
 
     def _back_off(self, vm: Vm, now: float) -> None:
-        # It answers but cannot lend; asking it again at once would do so for ever.
+        # The peer is reachable but has no share to lend. An immediate retry would
+        # repeat the same exchange without end.
         view = self._views.get(vm)
         if view is not None:
             view.mark_unresponsive(now)
@@ -379,7 +382,7 @@
             if view.up or view.probe_at <= now:
                 view.mark_unresponsive(now)
 
-    # -- the queue -------------------------------------------------------------
+    # -- queue -----------------------------------------------------------------
 
     def _available(self) -> float:
         return self.share.bucket.level + sum(c.tokens for c in self._credits)
@@ -389,8 +392,8 @@
         return lending.home_holder(order, self.vm, self._views)
 
     def _serve_queue(self, now: float) -> list[Action]:
-        # At the home holder strictly in order, or small requests would starve a
-        # large one; elsewhere each request has an ask of its own.
+        # The home holder serves strictly in order, otherwise small requests would
+        # starve a large one. Other VMs borrow separately for each request.
         actions: list[Action] = []
         in_order = self._home_holder() == self.vm
         for waiter in list(self._queue):
@@ -442,7 +445,7 @@
             return self._refusal(waiter, max(retry_after, EPSILON_TOKENS), now)
         return Refuse(waiter.ticket, retry_after)
 
-    # -- getting tokens --------------------------------------------------------
+    # -- borrowing and refusing ------------------------------------------------
 
     def _obtain_tokens(self, now: float) -> list[Action]:
         if self._home_holder() == self.vm or any(w.peer for w in self._queue):
@@ -450,7 +453,7 @@
         return self._borrow_from_home(now)
 
     def _borrow_from_home(self, now: float) -> list[Action]:
-        if not self.share.record.parts:  # not read yet
+        if not self.share.record.parts:  # the record is not loaded yet
             return []
         home = self._home_holder()
         if home is None:
@@ -465,8 +468,8 @@
         return actions
 
     def _wait_for_probe(self, now: float) -> list[Action]:
-        # No holder answers. The next probe may find one, and a request that can
-        # wait for it does; the others are told when it is.
+        # No holder is responsive. Requests whose deadline allows it wait for the next
+        # probe; the others are refused with the time until that probe.
         probe_at = min(view.probe_at for view in self._views.values())
         self._retry_at = max(probe_at, now + lending.ANSWER_TIMEOUT_S / 10)
         delay = max(probe_at - now, 0.0) + lending.ANSWER_TIMEOUT_S
@@ -499,7 +502,7 @@
             for waiter, seconds in pairs
             if seconds is not None
         ]
-        # A request given up may have held back others that can go.
+        # A refused request at the head may have blocked requests behind it.
         if actions:
             actions += self._serve_queue(now)
         if self._queue:
@@ -509,7 +512,7 @@
                 self._retry_at = now + seconds + EPSILON_TOKENS
         return actions
 
-    # -- the pool --------------------------------------------------------------
+    # -- pool ------------------------------------------------------------------
 
     def _maintain_pool(self, now: float) -> list[Action]:
         share = self.share
--- a/src/persimmonhitch/limits/actions.py
+++ b/src/persimmonhitch/limits/actions.py
@@ -1,4 +1,4 @@
-"""What an account's state machine tells its runtime to do."""
+"""Actions that the state machine of an account returns to the limiter."""
 
 from dataclasses import dataclass
 from typing import NewType
@@ -7,7 +7,7 @@
 from .messages import Message
 
 Ticket = NewType("Ticket", int)
-"""One request at this VM's limiter."""
+"""Number of a request at the limiter of this VM."""
 
 
 @dataclass(frozen=True)
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True)
 class Admit:
-    """The request has its tokens, from ``giver`` under a record's generation."""
+    """Admit a request with tokens of ``lender``.
+
+    ``generation`` is the generation of the share record that backs the tokens.
+    """
 
     ticket: Ticket
     lender: Vm
@@ -29,7 +32,10 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """The request cannot get its tokens in time; None says that it never can."""
+    """Refuse a request whose tokens cannot arrive before its deadline.
+
+    ``retry_after`` is in seconds; None for a request that can never be admitted.
+    """
 
     ticket: Ticket
     retry_after: float | None
--- a/src/persimmonhitch/limits/bucket.py
+++ b/src/persimmonhitch/limits/bucket.py
@@ -1,17 +1,18 @@
-"""Token bucket of one share, in which loans count and refunds are exact.
+"""Token bucket of one share, with loans and refunds.
 
-Load pattern: an account that spends its burst at once, lends between VMs and gives
-back reserved output it did not use. Without the two rules below the fleet would let
-through more than rate and burst, a little in each window, and no log would show it:
+Load pattern: an account spends its whole burst at once, its tokens are lent between
+VMs, and requests refund reserved output that they did not use. Without the two rules
+below the fleet would admit slightly more than rate and burst in each window, and no
+log would show it:
 
-- A loan still out counts against the cap. Else the giver refills what it lent while
-  the borrower has yet to spend it, and both together hold more than the burst.
-- A refund counts from the time of the charge. Tokens charged at ``t`` and given back
-  later are credited only as far as the bucket would have had room for them ever since
-  ``t``. Else a full bucket is spent, refunded by an old request and spent once more.
+- An outstanding loan counts against the cap. Otherwise the lender refills the tokens
+  before the borrower has spent them, and both together have more than the burst.
+- A refund applies from the time of the charge. Tokens charged at ``t`` are credited
+  only up to the lowest headroom of the bucket since ``t``. Otherwise a full bucket is
+  spent, refunded by an old request and spent again.
 
-The second rule makes the record of what was used the same as if each request had
-paid its true cost when it was admitted.
+With the second rule, the accounted usage is the same as if each request had paid its
+actual cost at admission.
 """
 
 from bisect import insort
@@ -19,12 +20,13 @@
 from typing import Final
 
 MAX_MARKS: Final = 128
-"""Marks of low headroom kept; more are merged, on the side of crediting less."""
+"""Maximum number of headroom marks. Merging older marks credits fewer tokens, never
+more."""
 
 
 @dataclass
 class _HeadroomMark:
-    """The lowest headroom from the previous mark's time up to ``time``."""
+    """Lowest headroom between the time of the previous mark and ``time``."""
 
     time: float
     headroom: float
@@ -32,14 +34,14 @@
 
 @dataclass
 class Loan:
-    """Tokens that somebody else may spend up to ``until``."""
+    """Tokens that a borrower may spend until ``expires_at``."""
 
     expires_at: float
     tokens: float
 
 
 class Bucket:
-    """Level, cap and refill; every method takes the time, which may not go back."""
+    """Token bucket; the time passed to its methods must not decrease."""
 
     def __init__(self, rate: float, cap: float, now: float) -> None:
         self.rate = rate
@@ -52,11 +54,11 @@
 
     @property
     def headroom(self) -> float:
-        """Return the room for refills: the cap less the level and loans still out."""
+        """Return the cap less the level and the outstanding loans."""
         return self.cap - self.level - self._lent
 
     def advance(self, now: float) -> None:
-        """Refill up to ``now``; loans that end on the way make room from there on."""
+        """Refill up to ``now``; an expired loan adds headroom from its expiry on."""
         while self._loans and self._loans[0].expires_at <= now:
             loan = self._loans.pop(0)
             self._refill(loan.expires_at)
@@ -82,7 +84,7 @@
             self._marks[0].headroom = first.headroom
 
     def spend(self, tokens: float, now: float) -> bool:
-        """Take tokens if they are there."""
+        """Spend tokens; return False if the level is too low."""
         self.advance(now)
         if tokens > self.level:
             return False
@@ -90,7 +92,7 @@
         return True
 
     def lend(self, tokens: float, now: float, expires_at: float) -> Loan | None:
-        """Take tokens that a borrower may spend up to ``until``."""
+        """Debit tokens that a borrower may spend until ``expires_at``."""
         if not self.spend(tokens, now):
             return None
         return self._add_loan(tokens, expires_at)
@@ -102,7 +104,7 @@
         return loan
 
     def credit(self, tokens: float, charged_at: float, now: float) -> float:
-        """Give back tokens charged at ``since``; return how many found room."""
+        """Refund tokens charged at ``charged_at``; return the number credited."""
         self.advance(now)
         later = [mark for mark in self._marks if mark.time > charged_at]
         room = min((mark.headroom for mark in later), default=self.headroom)
@@ -114,10 +116,10 @@
         return credited
 
     def repay(self, loan: Loan, tokens: float, now: float) -> float:
-        """Take back a part of a loan; return how many tokens found room.
+        """Return part of a loan to the bucket; return the number of tokens credited.
 
-        While the loan counts, its room is still kept; afterwards it is credited
-        only as far as there has been room since its end.
+        An outstanding loan still has its room reserved. After its expiry, tokens are
+        credited only up to the lowest headroom since then.
         """
         self.advance(now)
         tokens = min(tokens, loan.tokens)
@@ -137,7 +139,7 @@
         self._marks = ordered
 
     def resize(self, rate: float, cap: float, now: float) -> None:
-        """Take a new rate and cap; what no longer fits is lost."""
+        """Apply a new rate and cap; tokens above the cap are dropped."""
         self.advance(now)
         self.rate = rate
         self.cap = cap
@@ -145,7 +147,7 @@
         self._record_headroom()
 
     def deposit(self, tokens: float, now: float) -> float:
-        """Take borrowed tokens as this bucket's own, as far as there is room now."""
+        """Add tokens up to the current headroom; return the number added."""
         self.advance(now)
         deposited = max(0.0, min(tokens, self.headroom))
         self.level += deposited
@@ -153,10 +155,10 @@
         return deposited
 
     def withhold(self, tokens: float, now: float, expires_at: float) -> None:
-        """Count tokens against the cap as if lent, though nothing was taken.
+        """Count tokens against the cap like a loan, without debiting them.
 
-        Part of a share that comes from another process may still be lent out by
-        it: until those loans have ended that part of the cap is not refilled.
+        The previous holder of a share may have outstanding loans from it. Until
+        they expire, that part of the cap must not be refilled.
         """
         self.advance(now)
         self._add_loan(tokens, expires_at)
--- a/src/persimmonhitch/limits/lending.py
+++ b/src/persimmonhitch/limits/lending.py
@@ -1,15 +1,15 @@
-"""Whom to ask for tokens, when to pool shares, and when to give a request up.
+"""Choose the lender, the time to pool shares, and the requests to refuse early.
 
-Load pattern: the balancer sends an account's requests to entries that hold no share,
-or whose share is used up. Without lending those requests are refused while tokens
-lie unused elsewhere: with equal shares over 30 entries two requests in three
+Load pattern: the load balancer sends the requests of an account to entries without a
+share, or with an exhausted one. Without lending these requests are refused while other
+entries have unused tokens: two of three requests with equal shares on 30 entries
 (docs/notes/rate-limits.md has the run).
 
-Every entry asks the first holder that answers, in the order of the record: the home
-holder. Because all ask the same one, requests that wait do so in one queue and in
-their order, and because it pools the other holders' shares, tokens stand in one
-bucket. Estimates of what may come are upper bounds, so that a request is given up
-only when it cannot succeed.
+Every entry borrows from the home holder: the first responsive holder in the order of
+the record. All entries use the same home holder, so waiting requests form one queue and
+are served in order. The home holder pools the shares of the other holders, so their
+tokens are in one bucket. Estimates of available tokens are upper bounds: a request is
+refused early only when it cannot succeed.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -19,38 +19,38 @@
 from ..ids import Vm
 
 ANSWER_TIMEOUT_S: Final = 0.25
-"""Seconds for the first answer; twice a round trip between distant regions."""
+"""Timeout of the first answer; twice the round trip between distant regions."""
 MIN_PROBE_INTERVAL_S: Final = 0.25
 MAX_PROBE_INTERVAL_S: Final = 8.0
-"""Seconds between probes of a holder that does not answer; doubles each time."""
+"""Interval between probes of an unresponsive holder; doubles after each probe."""
 POOL_THRESHOLD: Final = 0.5
-"""Part of its own burst below which the home holder pools the other shares: an
-account that needs less than one share's rate then costs no messages for it."""
+"""Fraction of its own burst below which the home holder pools the other shares. An
+account that uses less than the rate of one share then needs no pool messages."""
 POOL_IDLE_S: Final = 30.0
-"""Seconds without a request after which pooled shares go back."""
+"""Idle time after which pooled shares are returned."""
 RENEW_BEFORE_S: Final = 1.0
-"""Seconds left of a lease at which it is renewed: time for a second try."""
+"""Time before expiry at which a pool lease is renewed; allows for a retry."""
 
 
 @dataclass
 class HolderView:
-    """What this VM knows of another holder."""
+    """State of another holder as observed by this VM."""
 
     parts: int
     up: bool = True
     probe_at: float = 0.0
     probe_interval_s: float = MIN_PROBE_INTERVAL_S
     pending: bool = False
-    """A ``PoolAsk`` or a probe is on its way."""
+    """Whether a ``PoolRequest`` or a probe is unanswered."""
     pool_retry_at: float = 0.0
-    """It has refused to pool until then."""
+    """Time before which the holder must not be asked to pool again."""
 
     def mark_responsive(self) -> None:
-        """Note that it answers."""
+        """Mark the holder as responsive and reset the probe interval."""
         self.up, self.probe_interval_s = True, MIN_PROBE_INTERVAL_S
 
     def mark_unresponsive(self, now: float) -> None:
-        """Note that it did not answer in time."""
+        """Mark the holder as unresponsive and schedule the next probe."""
         self.up = False
         self.probe_at = now + self.probe_interval_s
         self.probe_interval_s = min(MAX_PROBE_INTERVAL_S, 2 * self.probe_interval_s)
@@ -60,7 +60,7 @@
 
 
 def home_holder(order: Sequence[Vm], own_vm: Vm, views: Views) -> Vm | None:
-    """Return the holder to ask: the first that answers, or this VM itself."""
+    """Return the first holder that is responsive or this VM itself."""
     for vm in order:
         if vm == own_vm or views[vm].up:
             return vm
@@ -68,7 +68,7 @@
 
 
 def due_for_probe(views: Views, now: float) -> list[Vm]:
-    """Return the silent holders that are due for a probe."""
+    """Return the unresponsive holders whose next probe is due."""
     return [
         vm
         for vm, view in views.items()
@@ -77,14 +77,14 @@
 
 
 def poolable_parts(views: Views, now: float) -> int:
-    """Return the parts of the shares that may still be pooled."""
+    """Return the total parts of the shares that may be pooled now."""
     return sum(
         view.parts for view in views.values() if view.up and view.pool_retry_at <= now
     )
 
 
 def time_to_fill(shortage: float, rate: float) -> float:
-    """Return the seconds until a shortage is refilled."""
+    """Return the seconds in which a shortage of tokens is refilled."""
     if shortage <= 0:
         return 0.0
     return shortage / rate if rate > 0 else float("inf")
@@ -93,20 +93,20 @@
 def excess_waits(
     requests: Iterable[tuple[float, float]], available: float, rate: float
 ) -> list[float | None]:
-    """Say for each request of a queue whether it cannot get its tokens in time.
+    """Return the waits of queued requests that exceed their remaining time.
 
     Parameters
     ----------
-    needs : iterable of (tokens, seconds)
-        Cost and remaining time of each, in their order.
-    have, rate : float
-        Most tokens there can be now, and their refill.
+    requests : iterable of (tokens, seconds)
+        Cost and remaining time of each request, in queue order.
+    available, rate : float
+        Upper bounds of the tokens available now and of the refill per second.
 
     Returns
     -------
     list
-        None for one that may succeed, else the seconds after which the tokens it
-        needs will be there. Given-up requests do not count for those behind them.
+        None for a request that may succeed, otherwise the seconds until its tokens are
+        available. A request with such a wait reserves no tokens ahead of later ones.
     """
     waits: list[float | None] = []
     reserved = 0.0
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -1,4 +1,4 @@
-"""Rate limiter of one entry: threads, clock and messages around the state machines."""
+"""Rate limiter of one entry: runs the account state machines with threads and I/O."""
 
 import threading
 import time
@@ -30,36 +30,36 @@
 from .record import NO_PARTS, ShareRecord, from_spec
 
 TICK_S: Final = 1.0
-"""Seconds between looks at the clock while nothing waits."""
+"""Maximum interval between ticks of an account."""
 GRACE_S: Final = 1.0
-"""Seconds beyond a request's time before its missing decision counts as a fault."""
+"""Extra wait after the timeout of a request, before a missing decision is a failure."""
 NOT_REQUESTED: Final = 0.0
-"""Time of asking in news that nobody asked for; it settles no doubt."""
+"""Request time of an unsolicited record update, which confirms no share."""
 MESSAGE_KINDS: Final = (Borrow, Queued, Lend, Refund, PoolRequest, Pooled, PoolReturn)
 
 
 def boot_time() -> float:
-    """Return seconds since the machine's start, counting time it was suspended.
+    """Return the seconds since boot, including time in suspension.
 
-    A clock that stands still in a suspended VM would hide from a share that its
-    lease ended meanwhile, and it would be spent by two VMs.
+    With a clock that stops during suspension, a resumed VM would not see that the
+    lease of a share has expired, and two VMs would spend the same share.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class PeerLinks(Protocol):
-    """What the limiter needs of the links between entries."""
+    """Links to the other entries, as used by the limiter."""
 
     def send(self, vm: Vm, msg: Any) -> bool:
-        """Send a message; False when no link is open."""
+        """Send a message; return False if no link to the VM is open."""
 
     def on(self, kind: type[Any], handler: Callable[[Vm, Any], None]) -> None:
-        """Hand every message of a kind to ``handler``."""
+        """Register ``handler`` for all messages of type ``kind``."""
 
 
 @dataclass(frozen=True)
 class Reservation:
-    """Tokens taken from an account for one request."""
+    """Tokens reserved for one request of an account."""
 
     account: Account
     tokens: Tokens
@@ -69,11 +69,11 @@
 
 
 NO_RESERVATION: Final = Reservation(Account(""), Tokens(0.0), Ticket(-1), Vm(""), 0)
-"""Stands in a request that has no tokens yet."""
+"""Placeholder for a request without reserved tokens."""
 
 
 class _Decision:
-    """Where a request's thread waits for its answer."""
+    """Decision on a request, for which the thread of the request waits."""
 
     def __init__(self) -> None:
         self.done = threading.Event()
@@ -81,7 +81,7 @@
 
 
 class Limiter:
-    """Holds every account to its rate together with the other entries."""
+    """Rate limiter of all accounts, coordinated with the other entries."""
 
     def __init__(
         self, vm: Vm, links: PeerLinks, clock: Callable[[], float] = boot_time
@@ -102,11 +102,11 @@
         self._thread = threading.Thread(target=self._run, name="limits", daemon=True)
 
     def start(self) -> None:
-        """Keep time from now on."""
+        """Start the thread that ticks the accounts."""
         self._thread.start()
 
     def close(self) -> None:
-        """Keep time no more; what waits is refused."""
+        """Stop the tick thread and refuse all waiting requests."""
         with self._changed:
             self._stopping = True
             for decision in self._decisions.values():
@@ -118,7 +118,7 @@
     def reserve(
         self, account: Account, cost: Tokens, timeout_s: float
     ) -> Result[Reservation, Failure]:
-        """Take tokens; wait for them while they can come within ``wait`` seconds."""
+        """Reserve tokens; wait while they can be available within ``timeout_s``."""
         plan = self._catalog.plan_of(account)
         if plan is None:
             return Err(Failure(ErrorCode.NOT_PERMITTED, "the account has no plan"))
@@ -141,7 +141,7 @@
         return Err(_refusal(action, cost, plan))
 
     def settle(self, reservation: Reservation, used: Tokens) -> None:
-        """Give back what was not used."""
+        """Return the unused tokens of a reservation."""
         with self._changed:
             limiter = self._accounts[reservation.account]
             actions = limiter.settle(reservation.ticket, used, self._clock())
@@ -151,7 +151,7 @@
     # -- configuration and records ---------------------------------------------
 
     def update(self, catalog: Catalog) -> None:
-        """Take new plans while requests wait."""
+        """Apply the plans of a new catalog, also to waiting requests."""
         self._catalog = catalog
         with self._changed:
             accounts = list(self._accounts.items())
@@ -161,17 +161,17 @@
                 self.apply(account, _plan_setter(plan))
 
     def accounts(self) -> tuple[Account, ...]:
-        """Return the accounts in force."""
+        """Return the accounts of the current catalog."""
         return tuple(self._catalog.accounts)
 
     def record(self, account: Account) -> ShareRecord:
-        """Return the newest share record known of an account."""
+        """Return the newest share record received for an account."""
         with self._changed:
             limiter = self._accounts.get(account)
             return NO_PARTS if limiter is None else limiter.share.record
 
     def request_records(self, vms: list[Vm]) -> bool:
-        """Ask peers for records unknown or in doubt here; return whether none is."""
+        """Request missing and unconfirmed records; return whether none are needed."""
         needed = [a for a in self.accounts() if self._needs_record(a)]
         for account in needed:
             for vm in vms:
@@ -186,10 +186,10 @@
             return limiter.share.unconfirmed or limiter.share.record.generation == 0
 
     def broadcast_record(self, account: Account, vms: Iterable[Vm]) -> None:
-        """Tell peers of a record that was just written.
+        """Send a newly written record to peers.
 
-        They would read it within seconds, but not if the store goes down first: a
-        new holder would then not know of its share for the whole outage.
+        Peers poll the store every few seconds. If the store becomes unavailable
+        before the next poll, a new holder could not use its share during the outage.
         """
         record = self.record(account)
         update = ShareRecordUpdate(
@@ -199,7 +199,7 @@
             self._links.send(vm, update)
 
     def parts(self, account: Account) -> int:
-        """Return the parts of an account that this VM counts as its own."""
+        """Return the parts of an account in the own share of this VM."""
         with self._changed:
             limiter = self._accounts.get(account)
             return 0 if limiter is None else limiter.share.parts
@@ -209,7 +209,7 @@
         account: Account,
         step: Callable[[AccountLimiter, float], list[Action]],
     ) -> None:
-        """Run one step of an account's state machine and send what it says."""
+        """Run one step of an account's state machine and perform its actions."""
         plan = self._catalog.plan_of(account)
         if plan is None:
             return
@@ -260,8 +260,8 @@
         return sends
 
     def _send(self, account: Account, sends: list[Send]) -> None:
-        # Outside the lock: a peer that reads slowly must not hold up the requests
-        # of all accounts.
+        # Send without the lock: a slow peer must not block the requests of all
+        # accounts.
         for send in sends:
             if not self._links.send(send.vm, send.msg):
                 self.apply(account, _disconnect_step(send.vm))
@@ -277,7 +277,7 @@
                 self.tick_or_log(account)
 
     def tick_or_log(self, account: Account) -> None:
-        """Do what is due for one account; a fault there must not stop the others."""
+        """Tick one account and log an error, so that other accounts still tick."""
         try:
             self._tick(account)
         except Exception as exc:
--- a/src/persimmonhitch/limits/messages.py
+++ b/src/persimmonhitch/limits/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries about rate shares; numbers 20 to 39."""
+"""Messages between entries about rate shares, with message numbers 20 to 39."""
 
 from dataclasses import dataclass
 
@@ -9,11 +9,11 @@
 @message(20)
 @dataclass(frozen=True)
 class Borrow:
-    """Ask a holder for tokens, all or nothing, within ``wait`` seconds.
+    """Request a loan of exactly ``tokens`` from a holder within ``timeout_s``.
 
-    ``life`` is how long the borrower needs the loan to live; ``insist`` says that it
-    cannot reach the holder that has this one's share for now. No tokens at all are
-    asked for to learn whether a holder answers again.
+    ``ttl_s`` is the requested lifetime of the loan. ``force`` is set by a borrower that
+    cannot reach the holder to which this share is pooled. A request for zero tokens
+    probes whether the holder is responsive again.
     """
 
     account: Account
@@ -27,7 +27,7 @@
 @message(21)
 @dataclass(frozen=True)
 class Queued:
-    """The tokens asked for are not here yet; an answer will follow."""
+    """Interim answer to ``Borrow``: the request waits for tokens; ``Lend`` follows."""
 
     account: Account
     loan: LoanId
@@ -41,16 +41,15 @@
     Attributes
     ----------
     queued : float
-        Seconds from the arrival of ``Borrow`` to this answer. The borrower counts
-        the loan's life from its own sending plus this, which is never later than
-        the giver's start, however long the two messages took.
+        Time from the arrival of ``Borrow`` to this answer. For the borrower the loan
+        starts when it sent ``Borrow`` plus this time, which is never later than the
+        start at the lender, whatever the delay of the two messages.
     retry_after : float
-        With a refusal, seconds until the tokens will be there; zero where this
-        holder cannot say.
+        For a refusal, seconds until the tokens are available; zero if unknown.
     pooled_at : Vm or None
-        With a refusal, the holder that has this one's share for now.
+        For a refusal, the holder to which the share is currently pooled.
     generation : int
-        Generation of the share record under which they were lent.
+        Generation of the share record that backs the tokens.
     """
 
     account: Account
@@ -65,7 +64,7 @@
 @message(23)
 @dataclass(frozen=True)
 class Refund:
-    """Give back lent tokens that were not used; credited once for each loan."""
+    """Return unused tokens of a loan; credited at most once per loan."""
 
     account: Account
     loan: LoanId
@@ -75,7 +74,7 @@
 @message(24)
 @dataclass(frozen=True)
 class PoolRequest:
-    """Ask a holder for its whole share for a while, or for longer (``lease``)."""
+    """Request a lease on the whole share of a holder, or renew ``lease_id``."""
 
     account: Account
     request_id: LoanId
@@ -85,9 +84,9 @@
 @message(25)
 @dataclass(frozen=True)
 class Pooled:
-    """Answer to ``PoolAsk``: the share and, the first time, the tokens in it.
+    """Answer to ``PoolRequest``: the leased share and, for a new lease, its tokens.
 
-    Zero ``parts`` is a refusal; ``life`` then says when to ask again.
+    Zero ``parts`` is a refusal; ``ttl_s`` is then the time until the next request.
     """
 
     account: Account
@@ -102,7 +101,7 @@
 @message(26)
 @dataclass(frozen=True)
 class PoolReturn:
-    """Give a pooled share back before its lease ends, with the tokens in it."""
+    """Return a pooled share and its tokens before the lease expires."""
 
     account: Account
     lease_id: LoanId
@@ -112,7 +111,10 @@
 @message(27)
 @dataclass(frozen=True)
 class ShareRecordUpdate:
-    """The newest share record known of an account; ``asked`` is the asker's time."""
+    """Newest share record of an account that the sender has received.
+
+    ``as_of`` is copied from the request, in the time of the requester.
+    """
 
     account: Account
     as_of: float
@@ -123,7 +125,10 @@
 @message(28)
 @dataclass(frozen=True)
 class ShareRecordRequest:
-    """Ask a peer for the newest share record it knows, at the asker's time."""
+    """Request the newest share record that a peer has received.
+
+    ``as_of`` is the time of the request by the clock of the requester.
+    """
 
     account: Account
     as_of: float
@@ -132,7 +137,7 @@
 @message(29)
 @dataclass(frozen=True)
 class ShareRevoked:
-    """A VM's share was taken by a record of that generation."""
+    """Notice that the record of ``generation`` reclaimed the share of a VM."""
 
     account: Account
     vm: Vm
--- a/src/persimmonhitch/limits/pending.py
+++ b/src/persimmonhitch/limits/pending.py
@@ -1,4 +1,4 @@
-"""Requests, loans and questions that an account's state machine keeps in mind."""
+"""Queued requests, loans and unanswered messages of an account's state machine."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass
 class Credit:
-    """Borrowed tokens not yet spent."""
+    """Unspent part of a loan received from another holder."""
 
     lender: Vm
     loan: LoanId
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False)
 class Waiter:
-    """A request of this VM, or of a peer where ``peer`` is set."""
+    """Queued request of this VM, or loan request of ``peer`` if set."""
 
     tokens: float
     deadline: float
@@ -30,16 +30,16 @@
     loan: LoanId = LoanId("")
     ttl_s: float = 0.0
     borrowing: bool = False
-    """A ``Borrow`` for it is on its way."""
+    """Whether a ``Borrow`` for this request is unanswered."""
     holder: Vm | None = None
-    """The holder to ask next, as the last one said."""
+    """Holder to borrow from next, as named in the latest refusal."""
     force: bool = False
-    """A holder did not answer."""
+    """Whether an earlier ``Borrow`` timed out, so the next has ``force`` set."""
 
 
 @dataclass
 class PendingRequest:
-    """A ``Borrow`` or ``PoolAsk`` without its answer."""
+    """Unanswered ``Borrow`` or ``PoolRequest``."""
 
     vm: Vm
     sent_at: float
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class GrantedLoan:
-    """A loan made."""
+    """Loan granted to a peer, kept for its refund."""
 
     loan: Loan
     tokens: float
@@ -58,7 +58,7 @@
 
 @dataclass
 class Charge:
-    """What an admitted request took."""
+    """Tokens charged to an admitted request."""
 
     total: float
     charged_at: float
--- a/src/persimmonhitch/limits/record.py
+++ b/src/persimmonhitch/limits/record.py
@@ -1,11 +1,11 @@
-"""The store's record of one account's shares: which VM holds how much.
-
-Load pattern: entries come, go and die while an account sends on all of them. The
-record maps at most ``HOLDERS`` VMs to parts that sum to ``PARTS``, and changes only
-by conditional update, so two entries that change it at once cannot both succeed. It
-has no lease: while the store is down nobody's share ends. ``HOLDERS`` is fixed
-because a share must hold the burst for one request and because the messages of a
-request grow with the number of holders, not of entries (docs/notes/rate-limits.md).
+"""Record in the store of the shares of one account: the part of each holder.
+
+Load pattern: entries start, stop and crash while an account sends requests to all of
+them. The record maps at most ``MAX_HOLDERS`` VMs to parts that sum to ``PARTS``. It is
+changed only by conditional update, so of two concurrent changes only one succeeds. It
+has no lease, so no share expires while the store is unavailable. ``MAX_HOLDERS`` does
+not depend on the number of entries: the burst of one share must cover a request, and
+the messages per request grow with the number of holders (docs/notes/rate-limits.md).
 """
 
 import hashlib
@@ -20,35 +20,36 @@
 from ..store.objects import Spec
 
 PARTS: Final = 1_000_000
-"""A whole share; integers, so that the sum is exact."""
+"""Parts of a whole account; integers, so that the sum is exact."""
 MAX_HOLDERS: Final = 4
 MIN_PARTS: Final = PARTS // 20
-"""Parts below which a share is not worth a holder's place."""
+"""Minimum share after a split; a smaller share does not justify another holder."""
 MAX_PARTS: Final = PARTS * 2 // 5
-"""Parts that demand may gather on one VM: what its death may cost an account."""
+"""Maximum share of a VM after rebalancing; bounds the part of its rate that an account
+loses when the VM fails."""
 MIN_DEMAND_RATIO: Final = 2.0
-"""A borrower must use this many times what the holder uses to take its share."""
+"""Minimum ratio of the borrower's demand to the holder's for a move of the share."""
 MIN_DEMAND_SHARE: Final = 0.35
-"""Part of all tokens taken that a borrower must use; below it a move saves little."""
+"""Minimum fraction of the total demand for a borrower; below it a move saves little."""
 
 
 @dataclass(frozen=True)
 class ShareRecord:
-    """Parts of one account by VM; ``generation`` rises with each change."""
+    """Parts of one account by VM; each change increments ``generation``."""
 
     generation: int
     parts: Mapping[Vm, int]
 
     def fraction(self, vm: Vm) -> float:
-        """Return a VM's part of the whole."""
+        """Return the share of a VM as a fraction of the account."""
         return self.parts.get(vm, 0) / PARTS
 
     def holders(self) -> list[Vm]:
-        """Return the holders, the largest first: the order in which to ask."""
+        """Return the holders in borrowing order, largest share first."""
         return sorted(self.parts, key=lambda vm: (-self.parts[vm], vm))
 
     def to_spec(self) -> Spec:
-        """Return the form that the store keeps."""
+        """Return the record in its stored form."""
         return {"generation": self.generation, "parts": dict(self.parts)}
 
 
@@ -56,14 +57,14 @@
 
 
 def from_spec(spec: Spec) -> Result[ShareRecord, str]:
-    """Read a record, or say what is wrong with it."""
+    """Parse a stored record; return an error text if it is invalid."""
     generation, parts = spec.get("generation"), spec.get("parts")
     if type(generation) is not int or type(parts) is not dict:
-        return Err("generation or parts missing")
+        return Err("generation or parts are missing or of the wrong type")
     if any(type(part) is not int or part <= 0 for part in parts.values()):
-        return Err("a part is not a whole number above zero")
+        return Err("a part is not a positive integer")
     if parts and sum(parts.values()) != PARTS:
-        return Err(f"parts sum to {sum(parts.values())}")
+        return Err(f"the sum of the parts is {sum(parts.values())}")
     return Success(ShareRecord(generation, {Vm(vm): n for vm, n in parts.items()}))
 
 
@@ -79,20 +80,20 @@
 
 
 def rank_vms(account: Account, vms: Iterable[Vm]) -> list[Vm]:
-    """Order VMs by a hash with the account, so that holders spread over the fleet."""
+    """Order VMs by a hash with the account, to spread holders over the fleet."""
     return sorted(
         set(vms), key=lambda vm: hashlib.sha256(f"{account}/{vm}".encode()).digest()
     )
 
 
 def allocate(record: ShareRecord, account: Account, live: Iterable[Vm]) -> ShareRecord:
-    """Give the shares of a record without holders to live VMs."""
+    """Split an account without holders equally among live VMs."""
     chosen = rank_vms(account, live)[:MAX_HOLDERS]
     return _next(record, _equal_parts(chosen)) if chosen else record
 
 
 def split_share(record: ShareRecord, holder: Vm, new_holder: Vm) -> ShareRecord | None:
-    """Let a holder halve its share for a new holder; None when it must not."""
+    """Give half of a share to a new holder; return None if not allowed."""
     part = record.parts.get(holder, 0)
     excluded = len(record.parts) >= MAX_HOLDERS or new_holder in record.parts
     if excluded or part < 2 * MIN_PARTS:
@@ -102,7 +103,7 @@
 
 
 def release(record: ShareRecord, vm: Vm, live: Iterable[Vm] = ()) -> ShareRecord:
-    """Give up a VM's share to the other holders, or to a live VM, or to nobody."""
+    """Transfer the share of a VM to the other holders, else to a live VM, if any."""
     if vm not in record.parts:
         return record
     others = {other: part for other, part in record.parts.items() if other != vm}
@@ -116,7 +117,7 @@
 
 
 def reclaim(record: ShareRecord, lost: Iterable[Vm], live: Iterable[Vm]) -> ShareRecord:
-    """Take the shares of VMs that the platform no longer lists."""
+    """Transfer the shares of VMs that the platform no longer lists."""
     candidates = list(live)
     removed = set(lost)
     for vm in sorted(removed & set(record.parts)):
@@ -127,22 +128,23 @@
 def rebalance(
     record: ShareRecord, holder: Vm, demand: Mapping[Vm, float]
 ) -> ShareRecord | None:
-    """Move this holder's share towards the VM that uses its tokens most.
+    """Move part of a holder's share to the VM that uses most of its tokens.
 
     Parameters
     ----------
     record : ShareRecord
-        The record as this holder knows it.
+        The newest record that the holder has read.
     me : Vm
-        The holder that decides; it can only give its own.
+        The holder that runs this; it can transfer only its own share.
     demand : mapping
-        Tokens a second that each VM took from this holder's share, itself included.
+        Tokens that each VM spent from this share since the last rebalancing,
+        including the holder.
 
     Returns
     -------
     ShareRecord or None
-        The record to write, or None where a move would gain too little. Half the
-        share moves at a time; a share below ``2 * LEAST`` moves whole.
+        The record to write, or None if a move gains too little. Half of the share is
+        moved at a time, a share below ``2 * MIN_PARTS`` as a whole.
     """
     part = record.parts.get(holder, 0)
     borrower = max(
--- a/src/persimmonhitch/limits/share.py
+++ b/src/persimmonhitch/limits/share.py
@@ -1,29 +1,27 @@
-"""One VM's share of an account, and the shares pooled with it.
-
-Load pattern: entries that die, freeze and come back while the account sends at its
-rate. A share is a fraction of rate and burst that the store's record gives to this
-VM. It ends only by the record, never by time, so an outage of the store changes
-nothing. Tokens in several buckets are worth less than in one: a bucket that is full
-lets its refill run over while another is empty. So the holders lend their whole
-shares to one of them, under a short lease between the two; when that one dies, they
-have their shares back when the lease ends, without the store.
-
-What goes wrong without the rules below, seen only as a fleet that admits more than
-the plan:
-
-- A share that is new here starts with no more than the tokens that came with it, and
-  its refill is held back for as long as a loan may live, because whoever used it
-  before may have lent out all of it.
-- A holder that gives a part away stops using it before it writes the record, and
-  uses it again only under a record newer than the one it tried to replace: a write
-  whose answer was lost may still take effect.
-- The lease of a pooled share is counted from the asking on the one side and from the
-  later answer on the other, and longer there. It is looked at before each use, so a
-  process that was frozen finds it ended.
-- A process that starts leaves its share alone for the time of a lease, because the
-  one before it may have lent it.
-- A process that was frozen may also have lost its own share. After ``MAX_PAUSE``
-  without a look at the clock it admits nothing before the record is confirmed.
+"""Share of one VM in an account, and the shares of other holders pooled with it.
+
+Load pattern: entries crash, freeze and restart while the account sends at its rate. A
+share is a fraction of rate and burst that the record in the store assigns to this VM.
+Only a new record ends it, never a timeout, so an outage of the store has no effect.
+Separate buckets waste tokens: a full bucket drops its refill while another is empty.
+Therefore the holders lend their whole shares to one of them under short leases. If that
+holder fails, each owner regains its share when the lease expires, without the store.
+
+Violations of the rules below would show only as a fleet that admits more than the plan:
+
+- A share received by this VM starts with no more than the transferred tokens. Its
+  refill is withheld for the maximum lifetime of a loan, because the previous user may
+  have lent all of it.
+- A holder that transfers part of its share stops using that part before it writes the
+  record. It uses the part again only under a record newer than the one it tried to
+  write, because a write with a lost answer may still take effect.
+- The lease of a pooled share starts at the request for the borrower, and at the later
+  answer for the owner, who also adds a margin. The borrower checks the expiry before
+  each use, so a resumed process sees that the lease has expired.
+- A process does not use its share for the duration of one lease after its start,
+  because the previous process on the VM may have lent it.
+- A frozen process may also have lost its own share. If more than ``MAX_PAUSE_S``
+  elapsed since its last step, it admits no requests until the record is confirmed.
 """
 
 from dataclasses import dataclass
@@ -35,20 +33,21 @@
 from .record import NO_PARTS, PARTS, ShareRecord
 
 LOAN_TTL_S: Final = 0.25
-"""Seconds that a loan may live at most; a few round trips between regions."""
+"""Maximum lifetime of a loan; a few round trips between regions."""
 DRIFT_FACTOR: Final = 1.1
-"""The giver counts loans and leases longer, since clocks drift apart."""
+"""Factor by which lenders extend loans and leases, to allow for clock drift."""
 POOL_TTL_S: Final = 4.0
-"""Seconds of a lease on a pooled share: how long a dead holder keeps the others'."""
+"""Duration of a pool lease; a failed holder blocks the pooled shares this long."""
 MAX_PAUSE_S: Final = 5.0
-"""Seconds; well above any collector's pause, well below ``RECLAIM_AFTER``."""
+"""Pause after which a share is unconfirmed; well above the pauses of the garbage
+collector and well below ``RECLAIM_AFTER_S``."""
 RECLAIM_AFTER_S: Final = 30.0
-"""Seconds a VM must be missing from the platform's list before its share is taken."""
+"""Time that a VM is missing from the platform's list before its share is reclaimed."""
 
 
 @dataclass
 class Lease:
-    """A share in the hands of another VM, seen from either side."""
+    """Lease on a pooled share; ``vm`` is the other party, borrower or owner."""
 
     vm: Vm
     id: LoanId
@@ -57,7 +56,7 @@
 
 
 class Share:
-    """Fraction, plan, leases and bucket; every method takes the time."""
+    """Share of one VM: parts, plan, leases and bucket at the time of its caller."""
 
     def __init__(self, vm: Vm, plan: PlanEntry, now: float) -> None:
         self.vm = vm
@@ -67,8 +66,8 @@
         self.bucket = Bucket(0.0, 0.0, now)
         self.unconfirmed = False
         self._unconfirmed_since = now
-        # The process that ran here before may have lent the share to another
-        # holder just before it ended, and that one may use it until its lease ends.
+        # The previous process on this VM may have lent the share just before it
+        # ended; the borrower may use the share until its lease expires.
         expires_at = now + POOL_TTL_S * DRIFT_FACTOR
         self.lent: Lease | None = Lease(vm, LoanId(""), PARTS, expires_at)
         self.pooled: dict[Vm, Lease] = {}
@@ -77,7 +76,7 @@
         self._advanced_at = now
 
     def advance(self, now: float) -> bool:
-        """End leases, refill, and return whether the share may be used."""
+        """Expire leases, refill, and return whether the share may be used."""
         if now - self._advanced_at > MAX_PAUSE_S:
             self.unconfirmed = True
             self._unconfirmed_since = now
@@ -93,14 +92,14 @@
         return not self.unconfirmed
 
     def initialize(self, record: ShareRecord, now: float) -> None:
-        """Take the first record of an account: nobody can have used its tokens."""
+        """Apply the first record of an account; all its tokens are still unused."""
         self.advance(now)
         self.lent = None
         self.parts = record.parts.get(self.vm, 0)
         self._resize(now, self.plan.burst * self.parts / PARTS)
 
     def adopt(self, record: ShareRecord, now: float) -> bool:
-        """Take a record that was read or heard of; return whether it is newer."""
+        """Apply a record unless it is older; return whether it is newer."""
         if record.generation < self.record.generation:
             return False
         newer = record.generation > self.record.generation
@@ -116,10 +115,10 @@
         return newer
 
     def confirm(self, record: ShareRecord, as_of: float, now: float) -> bool:
-        """Take a record that the store or a peer was asked for at ``asked``.
+        """Apply a record that the store or a peer returned to a request at ``as_of``.
 
-        An answer that was asked for before the pause says nothing: the share may
-        have gone to another VM after it was given.
+        An answer to a request from before the pause does not confirm the share: the
+        share may have been transferred to another VM since then.
         """
         newer = self.adopt(record, now)
         current = record.generation >= self.record.generation
@@ -128,10 +127,10 @@
         return newer
 
     def shrink_to(self, record: ShareRecord, now: float) -> bool:
-        """Stop using what ``record`` gives away, before it is written.
+        """Shrink to the part in ``record`` before the record is written.
 
-        Return False while the share is in another VM's hands: it has to come back
-        first, or both that VM and the new holder would use it.
+        Return False while the share is lent: until the lease ends, both the borrower
+        and the new holder would use it.
         """
         if self.lent is not None:
             return False
@@ -141,14 +140,14 @@
         return True
 
     def set_plan(self, plan: PlanEntry, now: float) -> None:
-        """Take a changed rate and burst at once."""
+        """Apply the rate and burst of a changed plan."""
         self.plan = plan
         self._resize(now)
 
     # -- pooling ---------------------------------------------------------------
 
     def lease_to(self, vm: Vm, lease_id: LoanId, now: float) -> float | None:
-        """Give the whole share to another holder; return the tokens in it."""
+        """Lend the whole share to another holder; return its tokens."""
         if self.lent is not None or self.pooled or self.parts == 0 or self.unconfirmed:
             return None
         tokens = self.bucket.level
@@ -158,7 +157,7 @@
         return tokens
 
     def extend(self, vm: Vm, lease_id: LoanId, now: float) -> bool:
-        """Let another holder keep the share for longer."""
+        """Renew the lease of another holder; return whether it is still valid."""
         lease = self.lent
         if lease is None or (lease.vm, lease.id) != (vm, lease_id) or self.unconfirmed:
             return False
@@ -166,13 +165,13 @@
         return True
 
     def end_lease(self, lease_id: LoanId, tokens: float, now: float) -> None:
-        """Take the share back, with the tokens left in it."""
+        """End a lease early and credit the returned tokens."""
         if self.lent is not None and self.lent.id == lease_id:
             self.lent = None
             self._resize(now, tokens)
 
     def pool(self, lease: Lease, tokens: float, generation: int, now: float) -> bool:
-        """Use another holder's share until its lease ends; return whether it may."""
+        """Add or renew a pooled share; return False if its lease is not valid."""
         if lease.expires_at <= now or generation < self.record.generation:
             return False
         existing = self.pooled.get(lease.vm)
@@ -184,7 +183,7 @@
         return True
 
     def unpool(self, vm: Vm, now: float) -> tuple[LoanId, float]:
-        """Stop using a pooled share; return its lease and its part of the tokens."""
+        """Remove a pooled share; return its lease and its proportion of the tokens."""
         lease = self.pooled[vm]
         tokens = self.bucket.level * lease.parts / max(1, self._in_use)
         self.bucket.spend(tokens, now)
@@ -211,5 +210,5 @@
 
     @property
     def in_use(self) -> int:
-        """Return the parts that this VM may spend from, its own and pooled."""
+        """Return the parts that this VM may spend from, both own and pooled."""
         return self._in_use
--- a/src/persimmonhitch/limits/share_manager.py
+++ b/src/persimmonhitch/limits/share_manager.py
@@ -1,4 +1,4 @@
-"""Share records in the store: found, followed, moved, released and reclaimed."""
+"""Create, poll, move, release and reclaim the share records in the store."""
 
 import threading
 from collections import deque
@@ -29,29 +29,29 @@
 from .share import RECLAIM_AFTER_S
 
 POLL_INTERVAL_S: Final = 5.0
-"""Seconds between two looks at the store: two reads, whatever the load."""
+"""Poll interval of the store; each poll is two reads, independent of the load."""
 CREATE_DELAY_S: Final = 1.0
-"""Seconds after the start before a new account's record is made."""
+"""Delay after the start of the process before it creates records."""
 RETRY_INTERVAL_S: Final = 0.2
-"""Seconds between them while an account has no record yet."""
+"""Poll interval while an account has no record yet, and retry interval of a release."""
 REBALANCE_INTERVAL_S: Final = 30.0
-"""Seconds over which demand is counted before a share moves after it."""
+"""Period over which demand is measured before shares are rebalanced."""
 MAX_REVOKED: Final = 32
 READY_TIMEOUT_S: Final = 3.0
-"""Seconds; ten times what a link between entries takes to open."""
+"""Maximum wait for holders at startup; ten times the setup time of a peer link."""
 RELEASE_TIMEOUT_S: Final = 6.0
-"""Seconds at a stop for a pooled share to come back; a lease lasts less."""
+"""Maximum wait for pooled shares at shutdown; longer than a pool lease."""
 
 
 class ShareManager:
-    """Follows the records of all accounts and changes those it may change.
+    """Share records of all accounts, polled from the store and updated for this VM.
 
     Parameters
     ----------
     live : callable
-        Returns the other entries to which a link is open.
-    tell_revoked : callable
-        Tells sidecars and peers that a VM has lost its share.
+        Returns the peers that have an open link to this entry.
+    broadcast_revoked : callable
+        Informs sidecars and peers that a VM has lost its share.
     """
 
     def __init__(
@@ -80,19 +80,19 @@
         self._thread = threading.Thread(target=self._run, name="shares", daemon=True)
 
     def start(self) -> None:
-        """Follow from now on."""
+        """Start polling the store."""
         self._thread.start()
 
     def request_poll(self) -> None:
-        """Look at the store soon: accounts have changed."""
+        """Poll the store without delay because the accounts have changed."""
         self._poll_requested.set()
 
     def ready(self) -> bool:
-        """Return whether a holder of each account's share has been in reach.
+        """Return whether each account has had a reachable holder.
 
-        A request that came before would be refused although its account is within
-        its rate. Holders that are all gone must not keep this entry from serving
-        the other accounts, so after ``READY_AFTER`` they are not waited for.
+        Before that, a request would be refused although its account is within its
+        rate. If all holders of an account are lost, this entry must still serve the
+        other accounts, so the wait is limited to ``READY_TIMEOUT_S``.
         """
         if self._was_ready:
             return True
@@ -105,7 +105,7 @@
         return self._was_ready
 
     def close(self) -> None:
-        """Follow no more and give this VM's shares to the others."""
+        """Stop polling and release the shares of this VM to the other holders."""
         self._stopping.set()
         self._poll_requested.set()
         if self._thread.is_alive():
@@ -123,14 +123,14 @@
             self._poll_requested.clear()
 
     def poll(self) -> bool:
-        """Read the records once; return whether every account has one."""
+        """Read the records once; return whether every account has a record."""
         as_of = self._clock()
         listing = self._store.list_all(Kind.SHARE)
         if not isinstance(listing, Success):
             return self._limiter.request_records(list(self._live()))
         self._objects = {Account(obj.name): obj for obj in listing.unwrap().items}
         self._needs_holders = False
-        # A new account has its burst at once, and a move now would cost part of it.
+        # A new account starts with its full burst; moving a share now would lose some.
         new_accounts = set(self._limiter.accounts()) - set(self._objects)
         for account in self._limiter.accounts():
             if account in self._objects:
@@ -152,22 +152,22 @@
         self._limiter.apply(account, lambda lim, now: lim.confirm(record, as_of, now))
 
     def _create_record(self, account: Account) -> None:
-        # Shortly after the start the other entries are not linked yet, and an
-        # account on this VM alone would be gone with it.
+        # Just after the start no peer is linked yet, and an account held only by this
+        # VM would lose its tokens if the VM failed.
         if self._clock() - self._started_at < CREATE_DELAY_S:
             return
         record = allocate(NO_PARTS, account, {self._limiter.vm, *self._live()})
         result = self._store.create(Kind.SHARE, account, record.to_spec())
         if not isinstance(result, Success):
             return
-        # Nobody has held a share before, so nobody can have lent any of it: the
-        # account may have its burst at once.
+        # There was no holder before, so there can be no outstanding loan and the
+        # account starts with its full burst.
         self._objects[account] = result.unwrap()
-        # Until it has other holders the account hangs on this VM alone.
+        # Until the account has other holders, it depends on this VM alone.
         self._needs_holders = True
         self._limiter.apply(account, lambda lim, now: lim.initialize(record, now))
 
-    # -- changes of this VM's shares -------------------------------------------
+    # -- shares of this VM -----------------------------------------------------
 
     def _update_shares(self, new_accounts: set[Account]) -> None:
         lost = self._lost_vms()
@@ -191,14 +191,14 @@
     def _record_revoked(
         self, account: Account, old: ShareRecord, new: ShareRecord
     ) -> None:
-        # Only VMs missing from the platform's list: requests that one admitted
-        # before a clean stop may still wait for an upstream, and are good.
+        # Revoke only VMs missing from the platform's list. Requests that a VM admitted
+        # before a clean stop may still wait for an upstream and remain valid.
         for vm in set(old.parts) - set(new.parts):
             if vm in self._lost_since:
                 self._revoked.append(ShareRevoked(account, vm, new.generation))
 
     def _resend_revoked(self) -> None:
-        # Told again at each look: a sidecar linked since does not know them.
+        # Repeated on each poll for sidecars that were linked since the last poll.
         for msg in self._revoked:
             self._broadcast_revoked(msg)
 
@@ -209,8 +209,8 @@
     def _move_share(self, account: Account, record: ShareRecord, due: bool) -> None:
         own_vm = self._limiter.vm
         if self._limiter.parts(account) < record.parts[own_vm]:
-            # A write of ours had no answer and no effect so far. Another version
-            # makes it fail for good, and only then the share may grow back.
+            # An earlier write of this VM had no answer and has not taken effect so far.
+            # A newer version rejects it permanently; only then may the share grow.
             self._write(account, ShareRecord(record.generation + 1, record.parts))
             return
         new = None
@@ -226,8 +226,8 @@
             self._transfer(account, new)
 
     def _transfer(self, account: Account, new: ShareRecord) -> bool:
-        # The share shrinks here before the record is written. When the write's
-        # answer is lost it stays small until a newer record is seen.
+        # Shrink the share before writing the record. If the answer to the write is
+        # lost, the share stays small until a newer record is read.
         shrunk: list[bool] = []
         self._limiter.apply(account, _shrink_step(new, shrunk))
         if not all(shrunk) or not shrunk:
@@ -263,13 +263,13 @@
                     return
             threading.Event().wait(RETRY_INTERVAL_S)
 
-    # -- VMs that have gone ----------------------------------------------------
+    # -- lost VMs --------------------------------------------------------------
 
     def _lost_vms(self) -> set[Vm]:
         listing = self._store.list_all(Kind.VM)
         now = self._clock()
         if not isinstance(listing, Success):
-            # Time without a list does not count: it says nothing of any VM.
+            # Without a list, the presence of a VM is unknown: restart all timeouts.
             self._lost_since.clear()
             return set()
         listed = {Vm(obj.name) for obj in listing.unwrap().items}
--- a/src/persimmonhitch/limits/tokens.py
+++ b/src/persimmonhitch/limits/tokens.py
@@ -1,11 +1,10 @@
-"""What a token is and what a request costs: the one place that says so.
-
-A token is one unit of a model's text, in the prompt or in the answer; rates and
-bursts of plans count both alike. The entry has no tokenizer for each of the models,
-so it estimates a prompt as one token for each four bytes, rounded up. A request
-reserves its estimated prompt and the most output that it may ask for; when it ends,
-what was not used is given back. A call of a plain service costs what its entry in
-the configuration says, whatever its size.
+"""Definition of tokens and of the cost of a request.
+
+A token is one unit of a model's text. Rates and bursts of plans count prompt and output
+tokens alike. The entry has no tokenizers of the models, so it estimates one token per
+four bytes of the prompt, rounded up. A request reserves its estimated prompt and its
+maximum output, and unused tokens are refunded at its end. A request to a plain service
+costs a fixed number of tokens from the configuration, independent of its size.
 """
 
 import math
@@ -17,15 +16,15 @@
 
 BYTES_PER_TOKEN: Final = 4
 DEFAULT_MAX_TOKENS: Final = 256
-"""Output of a request that states no ``max_tokens``; the engine is told it too."""
+"""Output limit of a request without ``max_tokens``; also sent to the engine."""
 
 
 @dataclass(frozen=True)
 class Cost:
-    """Tokens that a request may use at most.
+    """Maximum number of tokens that a request may use.
 
-    ``max_tokens`` is the output that the engine must be held to: without the
-    enforcement a caller could ask for one token and take a thousand.
+    The engine must enforce ``max_tokens`` as its output limit. Otherwise a caller could
+    pay for one token and receive a thousand.
     """
 
     prompt: int
@@ -33,16 +32,16 @@
 
     @property
     def total(self) -> Tokens:
-        """Return what has to be reserved before the request may run."""
+        """Return the tokens to reserve before the request may run."""
         return Tokens(float(self.prompt + self.max_tokens))
 
     def used(self, output: int) -> Tokens:
-        """Return what a request cost in the end, never more than was reserved."""
+        """Return the actual cost of a request, at most the reserved tokens."""
         return Tokens(float(self.prompt + min(max(output, 0), self.max_tokens)))
 
 
 def prompt_tokens(text: bytes) -> int:
-    """Return the estimate for a prompt."""
+    """Return the estimated number of tokens of a prompt."""
     return math.ceil(len(text) / BYTES_PER_TOKEN)
 
 
@@ -53,5 +52,5 @@
 
 
 def service_cost(service: ServiceEntry) -> Tokens:
-    """Return the cost of one call of a plain service."""
+    """Return the cost of a request to a plain service."""
     return Tokens(service.cost)
