--- a/src/persimmonhitch/entry/sidecar_conn.py
+++ b/src/persimmonhitch/entry/sidecar_conn.py
@@ -33,7 +33,7 @@
 from .exchange import Exchange
 
 BURY_TIMEOUT: Final = 0.5
-"""Seconds to wait for the answer to ``Bury``; it takes one round trip."""
+"""Seconds to wait for the answer to ``Tombstone``; it takes one round trip."""
 
 
 class Versions(Protocol):
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -181,7 +181,7 @@
         self._thread.start()
 
     def disable_keep_alive(self) -> None:
-        """From now on, close each connection after its current request."""
+        """Close each connection after its current request, from now on."""
         self._server.keep_alive_disabled = True
 
     def stop_listening(self) -> None:
--- a/src/persimmonhitch/wire/link.py
+++ b/src/persimmonhitch/wire/link.py
@@ -27,7 +27,7 @@
 
 PING_INTERVAL_S: Final = 2.0
 PING_TIMEOUT_S: Final = 4.0
-"""A frozen or disconnected peer is detected after at most 6 s, with both of these."""
+"""A frozen or disconnected peer is detected after at most 2 + 4 = 6 seconds."""
 OPEN_TIMEOUT_S: Final = 2.0
 CLOSE_TIMEOUT_S: Final = 1.0
 CLOSE_POLICY_VIOLATION: Final = 1008
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -302,9 +302,9 @@
     conn.take(Chunk(sub.request, 2, 0, b"mine"))
     conn.take(End(sub.request, 2, 2, 1.0))
     conn.take(End(sub.request, 2, 1, 1.0))
-    kinds = [exchange.get(0.1) for _ in range(3)]
-    assert [type(kind) for kind in kinds] == [Head, Chunk, End]
-    assert kinds[1].data == b"mine"
+    frames = [exchange.get(0.1) for _ in range(3)]
+    assert [type(frame) for frame in frames] == [Head, Chunk, End]
+    assert frames[1].data == b"mine"
     assert conn.dropped == 5
 
 
@@ -312,8 +312,8 @@
     """One caller reads a long answer slowly while another answer arrives over the same
     link. The other answer must not be delayed, and the unread bytes must stay bounded.
     """
-    words = "w" * 4000
-    message = {"role": "user", "content": words}
+    content = "w" * 4000
+    message = {"role": "user", "content": content}
     chat = {"model": "m", "messages": [message], "stream": True, "max_tokens": 2000}
     engine.app.speed = EngineSpeed(prefill=0.0, step=0.0)
     req = admitted(body=json.dumps(chat).encode(), repeatable=True, timeout=30.0)
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ratio", "traceparent", "kept", "same_trace"),
+    ("ratio", "traceparent", "span_count", "same_trace"),
     [
         (1.0, CALLER_TRACEPARENT, 1, True),
         (1.0, CALLER_TRACEPARENT[:-1] + "0", 1, True),
@@ -115,13 +115,13 @@
     ],
 )
 def test_sampling_ratio_overrides_the_caller(
-    spans, ratio, traceparent, kept, same_trace
+    spans, ratio, traceparent, span_count, same_trace
 ):
     traces = Traces(ratio)
     with traces.hop(HopName.ENTRY, traces.resample(traceparent)) as hop:
         assert hop.traceparent
-    assert len(spans) == kept
-    assert (kept and spans[0]["trace_id"] == TRACE_ID) == same_trace
+    assert len(spans) == span_count
+    assert (span_count and spans[0]["trace_id"] == TRACE_ID) == same_trace
 
 
 def test_a_span_ends_once(spans):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -51,8 +51,8 @@
     result = read(tmp_path, text)
     assert isinstance(result, Err)
     lines = "\n".join(str(mistake) for mistake in result.failure())
-    for words in expected:
-        assert words in lines
+    for message in expected:
+        assert message in lines
 
 
 def test_table_names_each_setting():
