--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -157,5 +157,5 @@
             verdict=failure.verdict.value if failure else Verdict.RAN.value,
             code=failure.code.value if failure else "-",
             ended=reason.value if reason else "-",
-            reason=failure.message if failure else "error answer of the upstream",
+            reason=failure.message if failure else "the upstream's own answer",
         )
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -284,7 +284,7 @@
         now = self._clock()
         for fingerprint in self._history.block_attributed(now):
             remaining_s = self._history.blocked_for(fingerprint, now)
-            log("call_blocked", call=fingerprint, seconds=remaining_s, source="local")
+            log("call_blocked", call=fingerprint, seconds=remaining_s, source="judged")
             self._own_blocked[fingerprint] = now
             self._mark_changed(fingerprint)
 
