--- a/tests/test_limits_golden.py
+++ b/tests/test_limits_golden.py
@@ -1,4 +1,4 @@
-"""One account's rate over three real entries that die, freeze and lose the store."""
+"""Rate limit of one account on three real entries under crashes and outages."""
 
 import random
 import signal
@@ -10,7 +10,7 @@
 
 RATE, BURST, COST = 200.0, 200.0, 10.0
 JITTER = 0.5
-"""Seconds by which a call may run later than it was admitted, on a busy machine."""
+"""Maximum delay from the admission to the run of a request on a busy machine."""
 SENDERS = 6
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SLOTS = "/v1/services/ledger/slots"
@@ -36,7 +36,7 @@
 
 
 class Flood:
-    """Callers that send as fast as they are answered, through entries that live."""
+    """Callers that send requests without pause through the running entries."""
 
     def __init__(self, fleet, entries):
         self.fleet, self.entries = fleet, list(entries)
@@ -69,7 +69,7 @@
 
 
 def peak_usage(times):
-    """Return the largest part of rate and burst that any window has used."""
+    """Return the maximum usage of any window relative to its rate and burst."""
     worst = 0.0
     for first, start in enumerate(times):
         for last in range(first, len(times)):
@@ -79,10 +79,10 @@
 
 
 def test_rate_session(fleet):
-    """A planters' buyer sends many times its rate while entries die, freeze past
-    every lease and lose the store. If the fleet let through more than rate and
-    burst, the others would wait for it; if it forgot the share of a dead entry for
-    good, a buyer within its rate would lose bookings.
+    """An account sends many times its rate while entries crash, freeze for longer than
+    every lease and lose the store. If the fleet admitted more than rate and burst,
+    other accounts would be delayed; if it lost the share of a failed entry, requests
+    within the rate would be refused.
     """
     session = Session("rate")
     fleet.set_faults(down=True)
--- a/tests/test_limits_record.py
+++ b/tests/test_limits_record.py
@@ -1,4 +1,4 @@
-"""Share records: parts always sum to one, and few VMs hold them."""
+"""Share records: the parts always sum to the whole, over a limited number of VMs."""
 
 import pytest
 from returns.result import Failure as Err
--- a/tests/test_limits_runtime.py
+++ b/tests/test_limits_runtime.py
@@ -1,4 +1,4 @@
-"""Entries hold an account's rate together: threads, store and messages."""
+"""Rate limits enforced by several entries, with threads, store and messages."""
 
 import threading
 import time
@@ -22,7 +22,7 @@
 
 
 class FakeLinks:
-    """Delivers messages between limiters of one process, through the codec."""
+    """Deliver messages between limiters in one process through the codec."""
 
     def __init__(self):
         self.handlers = {}
@@ -47,7 +47,7 @@
 
 
 class Fleet:
-    """Entries' limiters and managers over one fake store."""
+    """Limiters and share managers of several entries on one fake store."""
 
     def __init__(self, names, rate=1000.0, burst=500.0):
         self.store, self.links = StoreState(), FakeLinks()
@@ -87,23 +87,23 @@
 
 
 def test_new_holder_receives_its_share_at_once(fleet):
-    """The store goes down just after a share has moved, before anybody has read the
-    record again. The new holder must know of its share all the same, or the account
-    would miss that part of its rate for the whole outage."""
+    """The store becomes unavailable just after a share was moved, before any entry
+    reads the new record. The new holder must still receive its share, otherwise the
+    account loses that part of its rate for the whole outage."""
     fleet.managers["vm0"].poll()
     fleet.store.faults.down = True
     record = fleet.limiters["vm0"].record(ACCOUNT)
     new_holder = next(vm for vm in record.parts if vm != "vm0")
     wait_for(
         lambda: fleet.limiters[new_holder].parts(ACCOUNT) == record.parts[new_holder],
-        "the new holder to know",
+        "the new holder to receive its share",
     )
 
 
 def test_rate_holds_over_all_entries_while_the_store_is_down(fleet):
-    """The store goes down and a caller sends through three entries at once, much
-    more than its rate. It must get its rate and burst, once, and every refusal must
-    come at once and say when to come back."""
+    """The store is unavailable and a caller sends far more than its rate through three
+    entries at the same time. It must get its rate and burst exactly once, and every
+    refusal must come at once and contain the time to the next retry."""
     fleet.store.faults.down = True
     began, lock = time.monotonic(), threading.Lock()
     admitted, refusals = [], []
@@ -131,8 +131,8 @@
 
 
 def test_unused_tokens_are_refunded(fleet):
-    """A caller reserves much output and uses little. Without the refund it would be
-    refused though it is within its rate, also through an entry without a share."""
+    """A caller reserves a large output and uses a small part. Without the refund it
+    would be refused within its rate, also at an entry without a share."""
     for _ in range(30):
         result = fleet.limiters["vm2"].reserve(ACCOUNT, 400.0, 1.0)
         assert isinstance(result, Success)
@@ -146,8 +146,8 @@
 
 
 def test_plan_change_applies_to_a_waiting_request(fleet):
-    """A request waits for tokens of a slow plan, and the operator raises the plan.
-    The request must go on at once instead of being refused."""
+    """A request waits for tokens of a slow plan while the operator raises the plan.
+    The request must be admitted at once instead of being refused."""
     fleet.limiters["vm0"].reserve(ACCOUNT, 500.0, 0.1)
     for vm in fleet.names:
         fleet.limiters[vm].update(_catalog(plan(1.0, 500.0)))
@@ -165,8 +165,9 @@
 
 
 def test_clean_stop_transfers_the_share(fleet):
-    """An entry is replaced. Its share must go to one that stays, or the account
-    would miss that part of its rate until the platform's list forgets the VM."""
+    """An entry is replaced. Its share must be transferred to a remaining entry,
+    otherwise the account loses that part of its rate until the platform no longer
+    lists the VM."""
     fleet.managers["vm0"].close()
     record = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap()
     assert "vm0" not in record.spec["parts"]
@@ -174,8 +175,8 @@
 
 
 def test_lost_answer_of_a_move_keeps_the_share_small(fleet):
-    """A holder gives half its share away and the store's answer is lost. Whether the
-    write took effect is not known, so the holder must not use that half again."""
+    """A holder transfers half of its share and the answer of the store is lost. The
+    write may have taken effect, so the holder must not use that half again."""
     manager, limiter = fleet.managers["vm0"], fleet.limiters["vm0"]
     manager._objects[ACCOUNT] = fleet.store.get(Kind.SHARE, ACCOUNT).unwrap()
     fleet.store.faults.lost_answers = 1
@@ -189,9 +190,9 @@
 
 
 def test_failed_move_is_undone(fleet):
-    """A holder tries to give half its share away while the store is down. The write
-    never arrives, and once the store is back the holder must use its whole share
-    again, but only after the lost write can no longer take effect."""
+    """A holder tries to transfer half of its share while the store is unavailable, and
+    the write is lost. When the store is available again, the holder must use its
+    whole share, but only after the lost write can no longer take effect."""
     manager, limiter = fleet.managers["vm0"], fleet.limiters["vm0"]
     manager._live = lambda: ["vm1"]
     manager.poll()
@@ -207,8 +208,8 @@
 
 
 def test_share_of_a_listed_vm_is_never_reclaimed(fleet):
-    """The platform's list lags and its answer may miss. Only a VM that has been
-    missing for long, from a list that names this VM, loses its share."""
+    """The platform's list may be outdated or unavailable. A VM loses its share only
+    after a long absence from lists that contain the polling VM."""
     now, told = [0.0], []
     manager = ShareManager(
         fleet.store, fleet.limiters["vm1"], lambda: [], told.append, lambda: now[0]
@@ -230,8 +231,8 @@
     [("vm0", 1, True), ("vm0", 2, False), ("vm1", 1, False)],
 )
 def test_sidecar_refuses_a_share_that_was_taken(giver, generation, refused):
-    """A VM that the platform's list has lost runs on, cut off, and admits requests
-    from a share that others have now. A sidecar refuses those, and only those."""
+    """A VM missing from the platform's list is partitioned but still runs, and admits
+    requests from a share that was reclaimed. A sidecar refuses these requests only."""
     revoked = RevokedShares()
     revoked.add(ShareRevoked(ACCOUNT, "vm0", 2))
     refusal = revoked.refusal(ACCOUNT, giver, generation)
--- a/tests/test_limits_safety.py
+++ b/tests/test_limits_safety.py
@@ -1,4 +1,4 @@
-"""No window ever holds more than rate and burst, and few are refused wrongly."""
+"""Admissions never exceed rate and burst in any window, with few wrong refusals."""
 
 import pytest
 from hypothesis import HealthCheck, given, settings
@@ -41,11 +41,11 @@
     GAP,
 )
 FILL_TIME_S = 11.0
-"""Seconds in which an idle account fills its burst and all leases and loans end."""
+"""Time in which an idle account refills its burst and all leases and loans expire."""
 
 
 class Driver:
-    """Plays steps on a world and keeps what was allowed and admitted."""
+    """Run steps on a simulated fleet and record plans and admissions."""
 
     def __init__(self, seed, loss, twice, changes):
         self.changes = changes
@@ -80,8 +80,8 @@
             self.placed.append(vm)
 
     def settle(self, number, part):
-        # The true cost is charged to the time of admission: what a refund brings
-        # back must not let a window that ended meanwhile exceed the plan.
+        # Charge the actual cost at the time of admission: a refund must not allow a
+        # window that ended before it to exceed the plan.
         if number < len(self.placed):
             outcome = self.world.outcomes[number]
             used = outcome.tokens * part
@@ -134,8 +134,8 @@
             self.world.set_record(new, delay=1.0)
 
     def reclaim(self, number, _other):
-        # Only a VM long gone is reclaimed: longer than a process may stand still
-        # without asking whether its share is still its own.
+        # The share of a lost VM is reclaimed only after the longest pause for which a
+        # process uses its share without confirming the record.
         vm = self.world.names[number]
         self.world.kill(vm)
         self.world.run(self.world.now + MAX_PAUSE_S)
@@ -172,9 +172,9 @@
     changes=st.booleans(),
 )
 def test_never_more_than_rate_and_burst(steps, seed, loss, twice, changes):
-    """Messages are lost, doubled and late, and entries die, freeze, restart, give
-    their shares away and change plans, in any order. An account that got more than
-    its plan this way would be served at the cost of the others."""
+    """Messages are lost, duplicated and delayed, and entries crash, freeze, restart,
+    transfer shares and change plans in any order. An account that exceeds its plan
+    in any of these cases takes capacity from the other accounts."""
     driver = Driver(seed, loss, twice, changes)
     driver.world.run(6.0)
     for step in steps:
@@ -195,9 +195,9 @@
 @pytest.mark.parametrize("skewed", [False, True])
 @pytest.mark.parametrize("fault", ["", "outage"])
 def test_steady_load_is_hardly_refused(entries, skewed, fault, monkeypatch):
-    """An account sends nine tenths of its rate through many entries, and for a while
-    the store is down. Requests that one exact bucket would have let through must not
-    be refused because their tokens lie at another entry."""
+    """An account sends 90 % of its rate through many entries, and the store is
+    unavailable for a time. Requests that one exact bucket would admit must not be
+    refused because their tokens are at another entry."""
     monkeypatch.setattr("persimmonhitch.play.limits_play.LENGTH", 300.0)
     monkeypatch.setattr("persimmonhitch.play.limits_play.FAULT_AT", 100.0)
     run = Run(Way("four holders", 4), entries, skewed, fault, seed=5)
@@ -213,9 +213,9 @@
 
 
 def test_dead_home_holder_costs_one_lease():
-    """The holder that has all shares pooled loses power. Its requests are lost, and
-    the others are refused for no longer than its lease; after that only its own part
-    of the rate is missing until the platform's list says that it has gone."""
+    """The home holder fails while it pools all shares. Its own requests are lost, and
+    requests at other entries are refused no longer than its leases last. After that
+    only its own share is missing until the platform no longer lists the VM."""
     world = World(6, plan(1000.0, 5000.0), seed=1)
     record = allocate(NO_PARTS, ACCOUNT, world.names)
     world.set_record(record)
@@ -239,8 +239,8 @@
 
 
 def test_refund_counts_from_the_charge():
-    """A full bucket is spent while an old request gives tokens back. If they were
-    credited as of now, the account would get its burst twice in one second."""
+    """A full bucket is spent while an old request refunds tokens. If the refund were
+    credited at the current time, the account would get its burst twice in a second."""
     bucket = Bucket(rate=10.0, cap=100.0, now=0.0)
     bucket.advance(10.0)
     assert bucket.spend(100.0, 10.0)
@@ -251,8 +251,8 @@
 
 
 def test_loan_counts_until_it_ends():
-    """A holder lends its burst and would be full again before the borrower spends
-    it, so that both together could spend twice the burst at once."""
+    """A holder lends its burst. If it refilled before the borrower spends the loan,
+    both together could spend twice the burst at once."""
     bucket = Bucket(rate=1000.0, cap=100.0, now=0.0)
     bucket.advance(1.0)
     loan = bucket.lend(100.0, 1.0, expires_at=2.0)
@@ -264,7 +264,7 @@
 
 
 def account_limiter(vm, parts, now=0.0):
-    """Return a limiter whose time as a new process is over, and its record."""
+    """Return the limiter of a new process with the given share record."""
     ids = iter(range(1000))
     limiter = AccountLimiter(vm, ACCOUNT, PLANS[0], now, lambda: f"{vm}-{next(ids)}")
     limiter.adopt(ShareRecord(1, parts), now)
@@ -275,8 +275,8 @@
 
 
 def test_new_process_waits_for_one_lease():
-    """An entry is killed after it lent its whole share, and starts anew at once. The
-    other one may use that share until the lease ends; both must not."""
+    """An entry is killed after it lent its whole share, and restarts at once. The
+    borrower may use the share until the lease expires, so the new process must not."""
     limiter = account_limiter("vm0", HALVES)
     for now, level in ((4.0, 0.0), (4.6, 0.0), (5.675, 50.0)):
         limiter.tick(now)
@@ -284,8 +284,8 @@
 
 
 def test_share_that_grows_waits_for_loans_to_end():
-    """A holder lends all it has and gives its share away. Until that loan has ended
-    the new holder must not refill, or the account gets those tokens twice."""
+    """A holder lends all its tokens and then transfers its share. The new holder must
+    not refill before the loan expires, or the account gets the tokens twice."""
     limiter = account_limiter("vm0", {"vm1": PARTS})
     limiter.tick(5.0)
     limiter.adopt(ShareRecord(2, HALVES), 5.0)
@@ -295,7 +295,7 @@
 
 
 def test_duplicate_refund_is_credited_once():
-    """A refund is delivered twice. Credited twice it would make tokens."""
+    """A refund is delivered twice. A second credit would exceed the lent tokens."""
     limiter = account_limiter("vm0", HALVES)
     for now in (4.0, 8.0, 12.0):
         limiter.tick(now)
@@ -307,8 +307,9 @@
 
 
 def test_pool_lease_counts_from_the_request():
-    """The answer that lends a share is held up for seconds. Counted from its arrival
-    the lease would outlast the giver's, and two VMs would spend one share."""
+    """The answer that lends a share is delayed by seconds. If the lease started at its
+    arrival, it would outlast the lease of the owner, and two VMs would spend one
+    share."""
     limiter = account_limiter("vm0", HALVES)
     for now in (2.0, 4.9):
         limiter.tick(now)
@@ -323,8 +324,8 @@
 
 
 def test_resumed_process_confirms_its_share_first():
-    """A process stands still for ten minutes and its share is taken meanwhile. What
-    it was told before the pause must not let it spend the share once more."""
+    """A process is frozen for ten minutes while its share is reclaimed. An answer to a
+    request from before the pause must not allow it to spend the share again."""
     limiter = account_limiter("vm0", HALVES)
     for now in (4.0, 8.0):
         limiter.tick(now)
