--- a/src/persimmonhitch/limits/record.py
+++ b/src/persimmonhitch/limits/record.py
@@ -110,8 +110,8 @@
     successors = sorted(others) or sorted(set(live) - {vm})[:1]
     if not successors:
         return _next(record, {})
-    each, remainder = divmod(record.parts[vm], len(successors))
-    parts = {successor: others.get(successor, 0) + each for successor in successors}
+    share, remainder = divmod(record.parts[vm], len(successors))
+    parts = {successor: others.get(successor, 0) + share for successor in successors}
     parts[successors[0]] += remainder
     return _next(record, parts)
 
@@ -156,10 +156,10 @@
         return None
     if demand[borrower] < MIN_DEMAND_SHARE * sum(demand.values()):
         return None
-    whole = part < 2 * MIN_PARTS or (
+    move_all = part < 2 * MIN_PARTS or (
         borrower not in record.parts and len(record.parts) >= MAX_HOLDERS
     )
-    moved = part if whole else part // 2
+    moved = part if move_all else part // 2
     total = record.parts.get(borrower, 0) + moved
     if total > MAX_PARTS:
         return None
--- a/tests/test_limits_golden.py
+++ b/tests/test_limits_golden.py
@@ -9,7 +9,7 @@
 from golden_session import Session
 
 RATE, BURST, COST = 200.0, 200.0, 10.0
-JITTER = 0.5
+RUN_DELAY_S = 0.5
 """Maximum delay from the admission to the run of a request on a busy machine."""
 SENDERS = 6
 ENTRIES = ("entry-1", "entry-2", "entry-3")
@@ -30,7 +30,7 @@
         yield running
 
 
-def book(fleet, entry, timeout):
+def send_request(fleet, entry, timeout):
     headers = {"X-Request-Timeout": str(timeout)}
     return fleet.request(entry, "POST", SLOTS, "fretes", headers=headers).status
 
@@ -51,7 +51,7 @@
         rng = random.Random(seed)
         while not self.stopping.is_set():
             try:
-                status = book(self.fleet, rng.choice(self.entries), 0.3)
+                status = send_request(self.fleet, rng.choice(self.entries), 0.3)
             except Exception:
                 continue
             if status != 200:
@@ -63,19 +63,19 @@
             thread.join()
 
 
-def times(fleet):
+def run_times(fleet):
     answer = fleet.http.request("GET", fleet.urls["service-1"] + "/_runs")
     return sorted(answer.json()["times"])
 
 
 def peak_usage(times):
     """Return the maximum usage of any window relative to its rate and burst."""
-    worst = 0.0
+    peak = 0.0
     for first, start in enumerate(times):
         for last in range(first, len(times)):
-            allowed = RATE * (times[last] - start + JITTER) + BURST
-            worst = max(worst, COST * (last - first + 1) / allowed)
-    return worst
+            allowed = RATE * (times[last] - start + RUN_DELAY_S) + BURST
+            peak = max(peak, COST * (last - first + 1) / allowed)
+    return peak
 
 
 def test_rate_session(fleet):
@@ -88,12 +88,12 @@
     fleet.set_faults(down=True)
     session.add("the store is down from here on")
     flood = Flood(fleet, ENTRIES)
-    wait_for(lambda: len(times(fleet)) > 60, "a flood through three entries")
+    wait_for(lambda: len(run_times(fleet)) > 60, "a flood through three entries")
     flood.entries = ["entry-2", "entry-3"]
     fleet.processes["entry-1"].kill()
     session.add("entry-1 is killed in the flood")
-    before = len(times(fleet))
-    wait_for(lambda: len(times(fleet)) > before + 40, "the flood to go on")
+    before = len(run_times(fleet))
+    wait_for(lambda: len(run_times(fleet)) > before + 40, "the flood to go on")
     flood.entries = ["entry-3"]
     frozen = fleet.processes["entry-2"]
     frozen.signal(signal.SIGSTOP)
@@ -101,13 +101,13 @@
     threading.Event().wait(7.0)
     frozen.signal(signal.SIGCONT)
     flood.entries = ["entry-2", "entry-3"]
-    before = len(times(fleet))
-    wait_for(lambda: len(times(fleet)) > before + 40, "the flood after the thaw")
+    before = len(run_times(fleet))
+    wait_for(lambda: len(run_times(fleet)) > before + 40, "the flood after the thaw")
     flood.stop()
-    worst = peak_usage(times(fleet))
-    print(f"largest part of rate and burst used in a window: {worst:.3f}")
-    session.add("flood over rate and burst:", worst > 1.0)
+    peak = peak_usage(run_times(fleet))
+    print(f"largest part of rate and burst used in a window: {peak:.3f}")
+    session.add("flood over rate and burst:", peak > 1.0)
     threading.Event().wait(2.0)
-    calm = [book(fleet, ENTRIES[1 + turn % 2], 5.0) for turn in range(12)]
-    session.add("twelve calls within the rate:", *sorted(set(calm)))
+    statuses = [send_request(fleet, ENTRIES[1 + index % 2], 5.0) for index in range(12)]
+    session.add("twelve calls within the rate:", *sorted(set(statuses)))
     session.check()
--- a/tests/test_limits_runtime.py
+++ b/tests/test_limits_runtime.py
@@ -26,10 +26,10 @@
 
     def __init__(self):
         self.handlers = {}
-        self.cut = set()
+        self.unlinked = set()
         self.pool = ThreadPoolExecutor(1)
 
-    def of(self, vm):
+    def link_of(self, vm):
         links = self
 
         class Link:
@@ -38,7 +38,7 @@
 
             def send(self, to, msg):
                 handler = links.handlers.get((to, type(msg)))
-                if handler is None or to in links.cut or vm in links.cut:
+                if handler is None or to in links.unlinked or vm in links.unlinked:
                     return False
                 links.pool.submit(handler, vm, decode(encode(msg)).unwrap())
                 return True
@@ -56,12 +56,12 @@
         for vm in names:
             self.start(vm, plan(rate, burst))
 
-    def start(self, vm, allowed):
+    def start(self, vm, account_plan):
         catalog = Catalog(
-            plans={allowed.name: allowed},
-            accounts={ACCOUNT: AccountEntry(ACCOUNT, allowed.name)},
+            plans={account_plan.name: account_plan},
+            accounts={ACCOUNT: AccountEntry(ACCOUNT, account_plan.name)},
         )
-        limiter = Limiter(vm, self.links.of(vm))
+        limiter = Limiter(vm, self.links.link_of(vm))
         limiter.update(catalog)
         others = [name for name in self.names if name != vm]
         manager = ShareManager(self.store, limiter, lambda: others)
@@ -76,14 +76,14 @@
 @pytest.fixture
 def fleet(monkeypatch):
     monkeypatch.setattr("persimmonhitch.limits.share_manager.CREATE_DELAY_S", 0.0)
-    made = Fleet(["vm0", "vm1", "vm2"])
-    others, made.managers["vm0"]._live = made.managers["vm0"]._live, lambda: []
-    made.managers["vm0"].poll()
-    made.managers["vm0"]._live = others
-    for vm in made.names[1:]:
-        made.managers[vm].poll()
-    yield made
-    made.close()
+    running = Fleet(["vm0", "vm1", "vm2"])
+    others, running.managers["vm0"]._live = running.managers["vm0"]._live, lambda: []
+    running.managers["vm0"].poll()
+    running.managers["vm0"]._live = others
+    for vm in running.names[1:]:
+        running.managers[vm].poll()
+    yield running
+    running.close()
 
 
 def test_new_holder_receives_its_share_at_once(fleet):
@@ -105,7 +105,7 @@
     entries at the same time. It must get its rate and burst exactly once, and every
     refusal must come at once and contain the time to the next retry."""
     fleet.store.faults.down = True
-    began, lock = time.monotonic(), threading.Lock()
+    started_at, lock = time.monotonic(), threading.Lock()
     admitted, refusals = [], []
 
     def send(vm):
@@ -123,8 +123,8 @@
         thread.start()
     for thread in threads:
         thread.join()
-    passed = max(admitted) - began
-    assert 450 <= 50 * len(admitted) <= 500 + 1000 * passed
+    elapsed = max(admitted) - started_at
+    assert 450 <= 50 * len(admitted) <= 500 + 1000 * elapsed
     assert {vm.code for _, vm in refusals} == {ErrorCode.RATE_LIMITED}
     assert all(exc.verdict is Verdict.NOT_RUN for _, exc in refusals)
     assert all(exc.retry_after and exc.retry_after > 0 for _, exc in refusals)
@@ -157,10 +157,10 @@
         assert isinstance(fut.result(timeout=5), Success)
 
 
-def _catalog(allowed):
+def _catalog(account_plan):
     return Catalog(
-        plans={allowed.name: allowed},
-        accounts={ACCOUNT: AccountEntry(ACCOUNT, allowed.name)},
+        plans={account_plan.name: account_plan},
+        accounts={ACCOUNT: AccountEntry(ACCOUNT, account_plan.name)},
     )
 
 
@@ -210,9 +210,9 @@
 def test_share_of_a_listed_vm_is_never_reclaimed(fleet):
     """The platform's list may be outdated or unavailable. A VM loses its share only
     after a long absence from lists that contain the polling VM."""
-    now, told = [0.0], []
+    now, revoked = [0.0], []
     manager = ShareManager(
-        fleet.store, fleet.limiters["vm1"], lambda: [], told.append, lambda: now[0]
+        fleet.store, fleet.limiters["vm1"], lambda: [], revoked.append, lambda: now[0]
     )
     manager.poll()
     assert "vm0" in fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
@@ -223,19 +223,19 @@
     now[0] = 41.0
     manager.poll()
     assert "vm0" not in fleet.store.get(Kind.SHARE, ACCOUNT).unwrap().spec["parts"]
-    assert told == [ShareRevoked(ACCOUNT, "vm0", 2)]
+    assert revoked == [ShareRevoked(ACCOUNT, "vm0", 2)]
 
 
 @pytest.mark.parametrize(
-    ("giver", "generation", "refused"),
+    ("lender", "generation", "refused"),
     [("vm0", 1, True), ("vm0", 2, False), ("vm1", 1, False)],
 )
-def test_sidecar_refuses_a_share_that_was_taken(giver, generation, refused):
+def test_sidecar_refuses_a_revoked_share(lender, generation, refused):
     """A VM missing from the platform's list is partitioned but still runs, and admits
     requests from a share that was reclaimed. A sidecar refuses these requests only."""
     revoked = RevokedShares()
     revoked.add(ShareRevoked(ACCOUNT, "vm0", 2))
-    refusal = revoked.refusal(ACCOUNT, giver, generation)
+    refusal = revoked.refusal(ACCOUNT, lender, generation)
     assert (refusal is not None) is refused
     if refusal is not None:
         assert (refusal.verdict, refusal.retry_after) == (Verdict.NOT_RUN, 1.0)
--- a/tests/test_limits_safety.py
+++ b/tests/test_limits_safety.py
@@ -30,7 +30,7 @@
     st.tuples(st.just("restart"), VMS),
     st.tuples(st.just("freeze"), VMS, st.floats(0.05, 12)),
     st.tuples(st.just("plan"), st.integers(0, 2)),
-    st.tuples(st.sampled_from(["release", "reclaim", "join"]), VMS, VMS),
+    st.tuples(st.sampled_from(["release", "reclaim", "split_share"]), VMS, VMS),
 )
 GAP = st.one_of(st.floats(0.0, 0.01), st.floats(0.01, 0.6), st.floats(0.6, 6))
 STEP = st.tuples(
@@ -51,7 +51,7 @@
         self.changes = changes
         self.world = World(6, PLANS[0], seed, loss, twice)
         self.world.set_record(allocate(NO_PARTS, ACCOUNT, self.world.names), delay=1.0)
-        self.placed = []
+        self.request_vms = []
         self.plans = [(0.0, PLANS[0])]
 
     def play(self, step):
@@ -77,16 +77,16 @@
         vm = self.world.names[number]
         if vm in self.world.limiters:
             self.world.request(vm, tokens, wait)
-            self.placed.append(vm)
+            self.request_vms.append(vm)
 
     def settle(self, number, part):
         # Charge the actual cost at the time of admission: a refund must not allow a
         # window that ended before it to exceed the plan.
-        if number < len(self.placed):
+        if number < len(self.request_vms):
             outcome = self.world.outcomes[number]
             used = outcome.tokens * part
             if outcome.admitted is not None:
-                self.world.settle(self.placed[number], number + 1, used)
+                self.world.settle(self.request_vms[number], number + 1, used)
                 outcome.tokens = used
 
     def kill(self, number):
@@ -122,13 +122,13 @@
         if limiter.share.shrink_to(new, self.world.now) and current:
             self.world.set_record(new, delay=1.0)
 
-    def join(self, number, other):
-        vm, taker = self.world.names[number], self.world.names[other]
+    def split_share(self, number, other):
+        vm, new_holder = self.world.names[number], self.world.names[other]
         limiter = self.world.limiters.get(vm)
         if limiter is None or self.world.now < self.world.frozen.get(vm, 0.0):
             return
         limiter.share.advance(self.world.now)
-        new = split_share(limiter.share.record, vm, taker)
+        new = split_share(limiter.share.record, vm, new_holder)
         current = limiter.share.record.generation == self.world.record.generation
         if new and limiter.share.shrink_to(new, self.world.now) and current:
             self.world.set_record(new, delay=1.0)
@@ -149,13 +149,13 @@
             for (since, allowed), (until, _) in zip(marks, marks[1:], strict=False)
         )
 
-    def most_over_burst(self):
+    def peak_usage(self):
         pairs = [(o.admitted, o.tokens) for o in self.world.outcomes if o.admitted]
-        level, last, worst = 0.0, 0.0, 0.0
+        level, last, peak = 0.0, 0.0, 0.0
         for time, tokens in sorted(pairs):
             level = max(0.0, level - self.refilled(last, time)) + tokens
-            last, worst = time, max(worst, level)
-        return worst / max(allowed.burst for _, allowed in self.plans)
+            last, peak = time, max(peak, level)
+        return peak / max(allowed.burst for _, allowed in self.plans)
 
 
 @settings(
@@ -180,11 +180,11 @@
     for step in steps:
         driver.play(step)
     driver.world.run(driver.world.now + 20)
-    assert driver.most_over_burst() <= 1 + 1e-6
+    assert driver.peak_usage() <= 1 + 1e-6
     assert (
         all(
             (o.admitted is None) != (o.refused is None)
-            for o, vm in zip(driver.world.outcomes, driver.placed, strict=True)
+            for o, vm in zip(driver.world.outcomes, driver.request_vms, strict=True)
             if vm in driver.world.limiters and o.arrived > driver.world.now - 25
         )
         or driver.world.frozen
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("entries", [3, 30])
 @pytest.mark.parametrize("skewed", [False, True])
 @pytest.mark.parametrize("fault", ["", "outage"])
-def test_steady_load_is_hardly_refused(entries, skewed, fault, monkeypatch):
+def test_steady_load_is_rarely_refused(entries, skewed, fault, monkeypatch):
     """An account sends 90 % of its rate through many entries, and the store is
     unavailable for a time. Requests that one exact bucket would admit must not be
     refused because their tokens are at another entry."""
@@ -313,9 +313,9 @@
     limiter = account_limiter("vm0", HALVES)
     for now in (2.0, 4.9):
         limiter.tick(now)
-    sent = limiter.reserve(1, 400.0, 30.0, 5.0)
-    (ask,) = [send.msg for send in sent if isinstance(send.msg, PoolRequest)]
-    answer = Pooled(ACCOUNT, ask.request_id, "lease", PARTS // 2, 0.0, 4.0, 1)
+    actions = limiter.reserve(1, 400.0, 30.0, 5.0)
+    (request,) = [send.msg for send in actions if isinstance(send.msg, PoolRequest)]
+    answer = Pooled(ACCOUNT, request.request_id, "lease", PARTS // 2, 0.0, 4.0, 1)
     limiter.receive("vm1", answer, 5.2)
     assert limiter.share.in_use == PARTS
     limiter.tick(8.9)
@@ -331,7 +331,7 @@
         limiter.tick(now)
     assert limiter.reserve(1, 10.0, 1.0, 608.0) == []
     assert limiter.confirm(ShareRecord(1, HALVES), 7.0, 608.1) == []
-    gone = ShareRecord(2, {"vm1": PARTS})
-    actions = limiter.confirm(gone, 608.1, 608.2)
+    reclaimed = ShareRecord(2, {"vm1": PARTS})
+    actions = limiter.confirm(reclaimed, 608.1, 608.2)
     assert not any(isinstance(action, Admit) for action in actions)
     assert limiter.share.bucket.level == 0.0
