--- a/src/persimmonhitch/limits/account.py
+++ b/src/persimmonhitch/limits/account.py
@@ -38,7 +38,7 @@
 TTL_ROUND_TRIPS: Final = 6.0
 """Lifetime of a loan in round trips. The lender cannot refill tokens on loan, so a long
 lifetime makes the burst smaller (docs/notes/rate-limits.md)."""
-EPSILON_TOKENS: Final = 1e-6
+EPSILON: Final = 1e-6
 """Smaller differences in tokens are rounding errors."""
 
 
@@ -94,7 +94,7 @@
         for lender, loan, tokens in charge.borrowed:
             part = min(unused, tokens)
             unused -= part
-            if part > EPSILON_TOKENS:
+            if part > EPSILON:
                 actions.append(Send(lender, Refund(self.account, loan, Tokens(part))))
         return actions
 
@@ -361,17 +361,17 @@
         return [
             Send(c.lender, Refund(self.account, c.loan, Tokens(c.tokens)))
             for c in expired
-            if c.tokens > EPSILON_TOKENS
+            if c.tokens > EPSILON
         ]
 
     def _expire_pending(self, now: float) -> None:
         expired = [
-            loan
-            for loan, pending in self._pending.items()
+            request_id
+            for request_id, pending in self._pending.items()
             if not pending.queued and pending.sent_at + lending.ANSWER_TIMEOUT_S <= now
         ]
-        for loan in expired:
-            pending = self._pending.pop(loan)
+        for request_id in expired:
+            pending = self._pending.pop(request_id)
             if pending.waiter is not None:
                 pending.waiter.borrowing, pending.waiter.holder = False, None
                 pending.waiter.force = True
@@ -388,8 +388,8 @@
         return self.share.bucket.level + sum(c.tokens for c in self._credits)
 
     def _home_holder(self) -> Vm | None:
-        order = self.share.record.holders()
-        return lending.home_holder(order, self.vm, self._views)
+        holders = self.share.record.holders()
+        return lending.home_holder(holders, self.vm, self._views)
 
     def _serve_queue(self, now: float) -> list[Action]:
         # The home holder serves strictly in order, otherwise small requests would
@@ -412,7 +412,7 @@
         return actions
 
     def _admit(self, waiter: Waiter, now: float) -> Action | None:
-        if self._available() + EPSILON_TOKENS < waiter.tokens:
+        if self._available() + EPSILON < waiter.tokens:
             return None
         charge = Charge(waiter.tokens, now)
         lender, generation = self.vm, self.share.record.generation
@@ -427,7 +427,7 @@
             lender, generation = credit.lender, credit.generation
         if remaining > 0:
             self.share.bucket.spend(min(remaining, self.share.bucket.level), now)
-        self._credits = [c for c in self._credits if c.tokens > EPSILON_TOKENS]
+        self._credits = [c for c in self._credits if c.tokens > EPSILON]
         self._charges[waiter.ticket] = charge
         return Admit(waiter.ticket, lender, generation)
 
@@ -442,7 +442,7 @@
     def _refuse(self, waiter: Waiter, retry_after: float, now: float) -> Action:
         self._queue.remove(waiter)
         if waiter.peer is not None:
-            return self._refusal(waiter, max(retry_after, EPSILON_TOKENS), now)
+            return self._refusal(waiter, max(retry_after, EPSILON), now)
         return Refuse(waiter.ticket, retry_after)
 
     # -- borrowing and refusing ------------------------------------------------
@@ -463,7 +463,7 @@
         for waiter in self._queue:
             shortage = waiter.tokens - available
             available = max(0.0, available - waiter.tokens)
-            if shortage > EPSILON_TOKENS and not waiter.borrowing:
+            if shortage > EPSILON and not waiter.borrowing:
                 actions.append(self._borrow(waiter, shortage, home, now))
         return actions
 
@@ -509,7 +509,7 @@
             shortage = self._queue[0].tokens - self._available()
             seconds = lending.time_to_fill(shortage, share.bucket.rate)
             if seconds < float("inf"):
-                self._retry_at = now + seconds + EPSILON_TOKENS
+                self._retry_at = now + seconds + EPSILON
         return actions
 
     # -- pool ------------------------------------------------------------------
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -288,9 +288,9 @@
             limiter = self._accounts[account]
             sends = self._wake(limiter.tick(self._clock()))
             holders = list(limiter.share.record.parts)
-            doubtful = limiter.share.unconfirmed
+            unconfirmed = limiter.share.unconfirmed
         self._send(account, sends)
-        if doubtful:
+        if unconfirmed:
             log("share_in_doubt", account=account)
             for vm in holders:
                 if vm != self.vm:
--- a/tests/test_limits_runtime.py
+++ b/tests/test_limits_runtime.py
@@ -110,13 +110,13 @@
 
     def send(vm):
         for _ in range(40):
-            asked = time.monotonic()
+            sent_at = time.monotonic()
             result = fleet.limiters[vm].reserve(ACCOUNT, 50.0, 0.05)
             with lock:
                 if isinstance(result, Success):
                     admitted.append(time.monotonic())
                 else:
-                    refusals.append((time.monotonic() - asked, result.failure()))
+                    refusals.append((time.monotonic() - sent_at, result.failure()))
 
     threads = [threading.Thread(target=send, args=(vm,)) for vm in fleet.names]
     for thread in threads:
