--- a/src/persimmonhitch/limits/account.py
+++ b/src/persimmonhitch/limits/account.py
@@ -39,7 +39,7 @@
 """Lifetime of a loan in round trips. The lender cannot refill tokens on loan, so a long
 lifetime makes the burst smaller (docs/notes/rate-limits.md)."""
 EPSILON: Final = 1e-6
-"""Smaller differences in tokens are rounding errors."""
+"""Tolerance in tokens and seconds, for rounding errors."""
 
 
 class AccountLimiter:
@@ -158,7 +158,7 @@
         return self.tick(now)
 
     def peer_connected(self, vm: Vm, now: float) -> list[Action]:
-        """Use a peer again after its connection is reestablished."""
+        """Resume borrowing from a peer whose connection is reestablished."""
         self._mark_responsive(vm)
         return self.tick(now)
 
--- a/src/persimmonhitch/limits/lending.py
+++ b/src/persimmonhitch/limits/lending.py
@@ -60,7 +60,7 @@
 
 
 def home_holder(order: Sequence[Vm], own_vm: Vm, views: Views) -> Vm | None:
-    """Return the first holder that is responsive or this VM itself."""
+    """Return the first holder that is responsive or is ``own_vm``."""
     for vm in order:
         if vm == own_vm or views[vm].up:
             return vm
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -248,6 +248,7 @@
         self.apply(msg.account, lambda lim, now: lim.confirm(record, msg.as_of, now))
 
     def _wake(self, actions: list[Action]) -> list[Send]:
+        # Wakes the threads of decided requests and returns the messages to send.
         sends: list[Send] = []
         for action in actions:
             if isinstance(action, Send):
--- a/src/persimmonhitch/limits/share.py
+++ b/src/persimmonhitch/limits/share.py
@@ -56,7 +56,7 @@
 
 
 class Share:
-    """Share of one VM: parts, plan, leases and bucket at the time of its caller."""
+    """Share of one VM: parts, plan, leases and bucket; methods receive the time."""
 
     def __init__(self, vm: Vm, plan: PlanEntry, now: float) -> None:
         self.vm = vm
