--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -162,7 +162,7 @@
         )
         return own_tokens + sum(others)
 
-    def pick_overflow(self) -> QueuedRequest | None:
+    def pick_excess(self) -> QueuedRequest | None:
         """Return the newest item of the account with the most tokens for its weight."""
         nonempty = [queue for queue in self._queues.values() if queue.items]
         if not nonempty:
@@ -226,7 +226,7 @@
             self.remove(item.request)
         return tuple(expired)
 
-    def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
+    def remove_excess(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
         """Remove and return the requests in excess of ``max_tokens``.
 
         A plain bound refuses the next caller, no matter which account filled the
@@ -237,8 +237,8 @@
         removed = []
         while self.tokens > max_tokens and len(self) > 1:
             item = (
-                self._classes[Priority.BATCH].pick_overflow()
-                or self._classes[Priority.INTERACTIVE].pick_overflow()
+                self._classes[Priority.BATCH].pick_excess()
+                or self._classes[Priority.INTERACTIVE].pick_excess()
             )
             if item is None:
                 break
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -87,13 +87,13 @@
 
     _failures: dict[LoadTarget, tuple[int, float]] = field(default_factory=dict)
 
-    def failed(self, target: LoadTarget, now: float) -> None:
+    def record_failure(self, target: LoadTarget, now: float) -> None:
         """Record a failure."""
         count = self._failures.get(target, (0, 0.0))[0] + 1
         delay = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * 2.0 ** (count - 1))
         self._failures[target] = (count, now + delay)
 
-    def succeeded(self, target: LoadTarget) -> None:
+    def record_success(self, target: LoadTarget) -> None:
         """Reset the delay."""
         self._failures.pop(target, None)
 
--- a/src/persimmonhitch/decide/placement.py
+++ b/src/persimmonhitch/decide/placement.py
@@ -70,7 +70,7 @@
     return Plan(tuple(planning.moves.items), tuple(planning.evictions.unplaced))
 
 
-def plan(
+def plan_moves(
     needs: Mapping[Model, ModelRequirement],
     targets: Iterable[PlacementTarget],
     rate: float,
@@ -180,4 +180,4 @@
 
 _URGENCY: Final = {reason: index for index, reason in enumerate(Reason)}
 
-__all__ = ["Move", "Plan", "Reason", "make_plan", "plan"]
+__all__ = ["Move", "Plan", "Reason", "make_plan", "plan_moves"]
--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -67,12 +67,12 @@
             self.rate = rate
             self._bucket.resize(rate, BURST_REQUESTS + rate * BURST_S)
 
-    def take_request(self, now: float) -> float:
+    def grant_request(self, now: float) -> float:
         """Grant a request; return 0, or the seconds until the next can be granted."""
         self._bucket.advance(now, 0, 1)
         return self._bucket.spend(ONE_REQUEST) or 0.0
 
-    def take_order(self, now: float) -> bool:
+    def grant_order(self, now: float) -> bool:
         """Take one load order from the bucket; return whether the rate allows it."""
         self._bucket.advance(now, 0, 1)
         if self._bucket.level + MAX_ORDER_OVERDRAFT < ONE_REQUEST:
@@ -80,9 +80,9 @@
         self._bucket.level -= ONE_REQUEST
         return True
 
-    def take_report(self, now: float) -> bool:
+    def grant_report(self, now: float) -> bool:
         """Take one report from the bucket; return whether the rate allows it."""
-        if now - self.reported_at < REPORT_INTERVAL_S or self.take_request(now) > 0:
+        if now - self.reported_at < REPORT_INTERVAL_S or self.grant_request(now) > 0:
             return False
         self.reported_at = now
         return True
--- a/src/persimmonhitch/direct/app.py
+++ b/src/persimmonhitch/direct/app.py
@@ -7,7 +7,7 @@
 from ..ids import RequestId, new_request_id
 from ..observe.logs import log
 from ..observe.metrics import CONTENT_TYPE, Metrics
-from ..platform.headers import read_caller
+from ..platform.headers import parse_caller
 from ..platform.names import READINESS_PATH
 from ..verdict import ErrorCode, Failure, Verdict
 from ..web import Answer, Body, Request, json_answer, read_request
@@ -34,7 +34,7 @@
             req: Request = result.unwrap()
             refusal = self._refusal()
             if refusal is not None:
-                caller = read_caller(req.headers)
+                caller = parse_caller(req.headers)
                 return _refuse_early(refusal, caller.request_id or new_request_id())
             return self._gateway.handle(req)
         except Exception as exc:
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -68,7 +68,7 @@
 
     def handle(self, req: Request) -> Answer:
         """Answer one request."""
-        caller = wire.read_caller(req.headers)
+        caller = wire.parse_caller(req.headers)
         active = self._active_config()
         result = admit(req, caller, active, self._clock)
         if not isinstance(result, Success):
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -32,7 +32,7 @@
 from ..observe.metrics import Metrics
 from ..planner.lease import LeaseKeeper
 from ..platform.config_format import decode_config
-from ..platform.headers import read_reply
+from ..platform.headers import parse_reply
 from ..platform.names import CONFIG_NAME
 from ..platform.store_client import StoreClient
 from ..settings import load
@@ -224,7 +224,7 @@
             lambda: self.active_config,
             self.quota,
             self.dispatcher,
-            Exchange(self.connection_pool, read_reply),
+            Exchange(self.connection_pool, parse_reply),
             self.watchdog,
             self.metrics,
             self.poison,
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -205,7 +205,7 @@
         """Answer the request of an entry for a grant, as the leader."""
         instance, now = UpstreamInstance(msg.upstream, msg.started_at_ms), self._clock()
         with self._lock:
-            wait_s = self._grants_for(instance, msg.rate).take_request(now)
+            wait_s = self._grants_for(instance, msg.rate).grant_request(now)
         wait_s *= 1.0 + random.random() * RETRY_JITTER
         return LimitGrant(msg.upstream, msg.started_at_ms, vm, math.ceil(wait_s * 1000))
 
@@ -221,11 +221,11 @@
 
     def acquire_order_slot(self, record: UpstreamRecord) -> bool:
         """Return whether an order may be sent to an upstream; count it if so."""
-        return self._acquire_slot(record, GrantBucket.take_order)
+        return self._acquire_slot(record, GrantBucket.grant_order)
 
     def acquire_report_slot(self, record: UpstreamRecord) -> bool:
         """Return whether a report may be requested from an upstream; count it if so."""
-        return self._acquire_slot(record, GrantBucket.take_report)
+        return self._acquire_slot(record, GrantBucket.grant_report)
 
     def _acquire_slot(
         self, record: UpstreamRecord, acquire: Callable[[GrantBucket, float], bool]
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -150,9 +150,9 @@
             return
         place = (order.move.model, upstream)
         if not msg.error:
-            self._rounds.retry.succeeded(place)
+            self._rounds.retry.record_success(place)
         elif msg.error not in IGNORED_ERRORS:
-            self._rounds.retry.failed(place, self._clock())
+            self._rounds.retry.record_failure(place, self._clock())
         log(
             "order_ended", order=msg.order_id, upstream=upstream, error=msg.error or "-"
         )
--- a/src/persimmonhitch/platform/config_format.py
+++ b/src/persimmonhitch/platform/config_format.py
@@ -95,14 +95,14 @@
 
 
 def _model(raw: Body) -> ModelSpec:
-    cold = float(raw.get("load_time_s") or 0)
-    disk = float(raw.get("disk_load_s") or cold)
+    cold_load_s = float(raw.get("load_time_s") or 0)
+    disk_load_s = float(raw.get("disk_load_s") or cold_load_s)
     return ModelSpec(
         name=Model(raw["name"]),
         memory_mb=float(raw["weights_mb"]),
-        cold_load_s=cold,
-        disk_load_s=disk,
-        memory_load_s=float(raw.get("warm_s") or disk),
+        cold_load_s=cold_load_s,
+        disk_load_s=disk_load_s,
+        memory_load_s=float(raw.get("warm_s") or disk_load_s),
         adapter_count=int(raw.get("adapters") or 0),
         adapter_mb=float(raw.get("adapter_size_mb") or 0),
     )
--- a/src/persimmonhitch/platform/headers.py
+++ b/src/persimmonhitch/platform/headers.py
@@ -45,7 +45,7 @@
     )
 
 
-def read_caller(headers: Headers) -> CallerHeaders:
+def parse_caller(headers: Headers) -> CallerHeaders:
     """Return the parsed headers of a caller's request; ignore malformed ones."""
     counts = _parse_token_counts(headers.get(names.TOKEN_COUNTS, ""))
     model, _, adapter = headers.get(names.MODEL, "").partition("/")
@@ -106,13 +106,13 @@
     return ServerLoad(running, waiting, slots)
 
 
-def read_era(headers: Headers) -> Era | None:
+def parse_era(headers: Headers) -> Era | None:
     """Return the era in a reply of the store, or None if missing or malformed."""
     text = headers.get(names.STORE_ERA, "").strip()
     return Era(int(text)) if text.isdecimal() else None
 
 
-def read_limit(headers: Headers) -> RateLimit | None:
+def parse_limit(headers: Headers) -> RateLimit | None:
     """Return the request rate limit in an upstream's reply, if present."""
     for name in names.SERVER_LIMIT:
         if name in headers:
@@ -120,7 +120,7 @@
     return None
 
 
-def read_reply(status: int, headers: Headers) -> ReplyHeaders:
+def parse_reply(status: int, headers: Headers) -> ReplyHeaders:
     """Return the parsed headers of an upstream's reply."""
     idle_timeout = KEEP_ALIVE_TIMEOUT.search(headers.get(names.KEEP_ALIVE, ""))
     request_id = headers.get(names.REQUEST_ID)
@@ -131,7 +131,7 @@
         request_id=RequestId(request_id) if request_id else None,
         instance=Upstream(instance) if instance else None,
         load=_parse_load(headers.get(names.SERVER_LOAD, "")),
-        limit=read_limit(headers),
+        limit=parse_limit(headers),
         retry_after=_parse_number(headers.get(names.RETRY_AFTER)),
         idle_timeout_s=float(idle_timeout[1]) if idle_timeout else None,
     )
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -19,7 +19,7 @@
     StoreFailure,
     Version,
 )
-from .headers import read_era
+from .headers import parse_era
 from .objects_format import (
     Body,
     decode_changes,
@@ -97,7 +97,7 @@
             parsed = json.loads(reply.data or b"{}")
         except (urllib3.exceptions.HTTPError, ValueError, OSError) as exc:
             return _failure(StoreError.UNAVAILABLE, repr(exc))
-        era = read_era({k.lower(): v for k, v in reply.headers.items()})
+        era = parse_era({k.lower(): v for k, v in reply.headers.items()})
         if not self._eras.observe(era):
             return _failure(StoreError.UNAVAILABLE, "reply of an older store era")
         if reply.status < 300 and isinstance(parsed, dict):
--- a/src/persimmonhitch/platform/upstream_format.py
+++ b/src/persimmonhitch/platform/upstream_format.py
@@ -92,7 +92,7 @@
 
 
 def encode_order(
-    load: bool,
+    is_load: bool,
     model: Model,
     adapter: Adapter | None,
     order_count: int,
@@ -104,7 +104,7 @@
     The engine accepts the order only if its order count equals ``order_count``.
     """
     body: dict[str, Any] = {
-        "operation": "load" if load else "unload",
+        "operation": "load" if is_load else "unload",
         "model": model,
         "precondition": order_count,
         "holder": leader,
--- a/src/persimmonhitch/play/baselines.py
+++ b/src/persimmonhitch/play/baselines.py
@@ -55,7 +55,7 @@
             self.tokens -= item.cost
         return late
 
-    def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
+    def remove_excess(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
         """Remove nothing; the bound refuses newcomers."""
         return ()
 
--- a/src/persimmonhitch/play/placement_planners.py
+++ b/src/persimmonhitch/play/placement_planners.py
@@ -5,7 +5,7 @@
 from typing import Final, Protocol
 
 from ..decide.copy_count import SPARE_LOAD, TARGET_LOAD, CopyCounts, copies_for
-from ..decide.placement import Move, Reason, plan
+from ..decide.placement import Move, Reason, plan_moves
 from ..decide.targets import ModelRequirement
 from ..ids import Model, Upstream
 from .placement_fleet import Fleet
@@ -35,7 +35,7 @@
     def moves(self, fleet: Fleet, needs: Needs, asked: Asked) -> list[Move]:
         """Return the moves for this period."""
         full = self.full(fleet, needs, asked)
-        return list(plan(full, fleet.sites(full), SPEED))
+        return list(plan_moves(full, fleet.sites(full), SPEED))
 
     def full(self, fleet: Fleet, needs: Needs, asked: Asked) -> Needs:
         """Return the needs with their demand and copies wanted."""
@@ -56,7 +56,7 @@
     def moves(self, fleet: Fleet, needs: Needs, asked: Asked) -> list[Move]:
         """Return the moves for this period."""
         full = self.full(fleet, needs, asked)
-        chosen = list(plan(full, fleet.sites(full), SPEED))
+        chosen = list(plan_moves(full, fleet.sites(full), SPEED))
         return chosen + _surplus(fleet, full, chosen)
 
 
@@ -75,7 +75,7 @@
             full[model] = replace(
                 need, demand=asked[model], wanted=least + spare, floor=least
             )
-        chosen = list(plan(full, fleet.sites(full), SPEED))
+        chosen = list(plan_moves(full, fleet.sites(full), SPEED))
         return chosen + _surplus(fleet, full, chosen)
 
 
--- a/src/persimmonhitch/play/placer.py
+++ b/src/persimmonhitch/play/placer.py
@@ -5,7 +5,7 @@
 
 from ..decide.copy_count import CopyCounts
 from ..decide.pacing import LoadPacer
-from ..decide.placement import Move, plan
+from ..decide.placement import Move, plan_moves
 from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..ids import Model, Upstream
 from .policy import PLACE_EVERY, StaticPlacer
@@ -76,7 +76,7 @@
         return {name: engine.serving() for name, engine in self._engines.items()}
 
     def _order(self, now: float, demand: dict[Model, float]) -> None:
-        moves = plan(self._needs(now, demand), self._sites(), SPEED)
+        moves = plan_moves(self._needs(now, demand), self._sites(), SPEED)
         loading = sum(
             copy.state is CopyPhase.LOADING
             for engine in self._engines.values()
--- a/src/persimmonhitch/play/policy.py
+++ b/src/persimmonhitch/play/policy.py
@@ -39,7 +39,7 @@
     def expire(self, now: float) -> tuple[QueuedRequest, ...]:
         """Remove and return what can no longer finish."""
 
-    def overflow(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
+    def remove_excess(self, max_tokens: float) -> tuple[QueuedRequest, ...]:
         """Remove and return what exceeds the bound."""
 
     def charge(self, account: Account, tokens: float, priority: Priority) -> None:
--- a/src/persimmonhitch/play/sidecar.py
+++ b/src/persimmonhitch/play/sidecar.py
@@ -79,7 +79,7 @@
         )
         if self._meter.rate > 0.0:
             bound = max_queue_tokens(self._meter.rate, Priority.BATCH)
-            for item in self._queue.overflow(bound):
+            for item in self._queue.remove_excess(bound):
                 self._end(self._calls.pop(item.request), Outcome.REFUSED)
         self._pump()
         return True
--- a/src/persimmonhitch/sidecar/dispatch.py
+++ b/src/persimmonhitch/sidecar/dispatch.py
@@ -188,7 +188,7 @@
     def _shed_overflow(self, now: float) -> None:
         """Refuse what the queue can't hold, from the account that fills it."""
         refusal = queue_full_refusal(self._queue_tokens, self._meter.service_rate)
-        for item in self._queue.overflow(self._queue_tokens):
+        for item in self._queue.remove_excess(self._queue_tokens):
             self._seen.bury(item.request, now)
             self._jobs.pop(item.request).fail(refusal)
 
--- a/src/persimmonhitch/slopes/placement.py
+++ b/src/persimmonhitch/slopes/placement.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Final
 
-from ..decide.placement import plan
+from ..decide.placement import plan_moves
 from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
 from ..ids import Model, Upstream, Zone
 from .base import SLOPES, Reading, Slope
@@ -46,7 +46,7 @@
 def _round(upstreams: int, models: int, lost: int) -> tuple[float, int]:
     needs, sites = fleet(upstreams, models, lost)
     start = time.thread_time()
-    moves = plan(needs, sites, SPEED)
+    moves = plan_moves(needs, sites, SPEED)
     return time.thread_time() - start, len(moves)
 
 
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -99,7 +99,7 @@
         """Time of the store's last reply to this process or to the pushing process."""
         self.failed_at = -math.inf
         """Time of the last failed call of this process or of the pushing process."""
-        self._push_at = -math.inf
+        self._push_received_at = -math.inf
         self._needs_listing = False
         self._was_following = False
         self._stopping = threading.Event()
@@ -170,7 +170,7 @@
         """Return whether recent pushes of another process replace the own watch."""
         now = time.monotonic()
         is_fresh = (
-            now - self._push_at < PUSH_TTL_S
+            now - self._push_received_at < PUSH_TTL_S
             and now - self.contact_at < self._duration_s + CONTACT_MARGIN_S
         )
         if is_fresh != self._was_following:
@@ -195,7 +195,7 @@
             is_older_era = era_of(changes.version) < era_of(self.version)
             if is_older_era or not self.ready.is_set():
                 return
-            self._push_at = time.monotonic()
+            self._push_received_at = time.monotonic()
             if failed_at > self.failed_at:
                 self._record_failure(failed_at)
             if since > self.version or (not full and changes.version > self.version):
--- a/tests/direct_help.py
+++ b/tests/direct_help.py
@@ -39,7 +39,7 @@
     Zone,
 )
 from persimmonhitch.observe.metrics import Metrics
-from persimmonhitch.platform.headers import read_reply
+from persimmonhitch.platform.headers import parse_reply
 from persimmonhitch.web import WebServer
 
 LEDGER, LLM, COOP = Service("ledger"), Service("llm"), Account("coop")
@@ -254,7 +254,7 @@
             lambda: ActiveConfig(cfg, RouteTable(cfg.routes)),
             self.quota,
             self.dispatcher,
-            Exchange(conns, read_reply),
+            Exchange(conns, parse_reply),
             self.watchdog,
             Metrics("direct", "test"),
             self.poison,
--- a/tests/test_decide_direct.py
+++ b/tests/test_decide_direct.py
@@ -56,7 +56,7 @@
     return UpstreamView(Upstream(name), zone, **{**values, **overrides})
 
 
-DRAWS, LIKELIEST = 1000, 0.8
+SAMPLES, MIN_BEST_SHARE = 1000, 0.8
 """Samples per choice, and the smallest share of them that goes to the best engine."""
 
 
@@ -105,14 +105,14 @@
 def test_choose_upstream(views, dispatch_request, step, upstream):
     choices = Counter(
         choose_upstream(
-            views, dispatch_request, Z1, lambda sample=sample: sample / DRAWS
+            views, dispatch_request, Z1, lambda sample=sample: sample / SAMPLES
         )
-        for sample in range(DRAWS)
+        for sample in range(SAMPLES)
     )
     assert {choice.step for choice in choices} == {step}
     (likeliest, count), *_ = choices.most_common()
     assert likeliest.upstream == upstream
-    assert count >= DRAWS * LIKELIEST
+    assert count >= SAMPLES * MIN_BEST_SHARE
     # Requests are shared only among engines that differ in their wait alone.
     chosen = {choice.upstream for choice in choices}
     shared = [v for v in views if v.upstream in chosen]
--- a/tests/test_decide_fairness.py
+++ b/tests/test_decide_fairness.py
@@ -112,7 +112,7 @@
     """
     queue = fill(FairQueue(), *(queued(f"a{n}") for n in range(10)))
     queue.push(queued("b0", "b"))
-    assert [item.request for item in queue.overflow(1000.0)] == ["a9"]
+    assert [item.request for item in queue.remove_excess(1000.0)] == ["a9"]
     assert queue.remove("b0") is not None
     assert queue.remove("b0") is None
 
--- a/tests/test_decide_residency.py
+++ b/tests/test_decide_residency.py
@@ -201,6 +201,6 @@
     assert next_restore(SPECS, demand_of(d=5), engines, initial) is None
 
 
-def test_draining_engine_takes_no_load():
+def test_draining_engine_accepts_no_load():
     engines = [engine("e1", "a", "b", disk=("a", "b", "c"), busy_s=math.inf)]
     assert next_move(SPECS, demand_of(c=9000, b=0), engines, True) is None
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 from persimmonhitch.decide.copy_count import REMOVAL_WAIT_S, CopyCount, SmoothedDemand
 from persimmonhitch.decide.pacing import LoadPacer, RetryBackoff
-from persimmonhitch.decide.placement import Move, Reason, make_plan, plan
+from persimmonhitch.decide.placement import Move, Reason, make_plan, plan_moves
 from persimmonhitch.decide.targets import ModelRequirement
 from persimmonhitch.ids import Model, Upstream
 from persimmonhitch.play.placement_fleet import Fleet
@@ -32,7 +32,7 @@
 def run_until_stable(fleet, needs, rounds=30):
     """Plan and apply moves until none is left; check that no last copy is unloaded."""
     for _ in range(rounds):
-        moves = plan(needs, fleet.sites(needs), SPEED)
+        moves = plan_moves(needs, fleet.sites(needs), SPEED)
         for move in moves:
             if not move.is_load and move.reason is not Reason.RETIRED:
                 serving = len(fleet.serving(move.model))
@@ -83,12 +83,12 @@
     needs = needs_of(need("a", wanted=1), need("b", wanted=3, demand=900.0))
     fleet = fleet_of(3)
     sites = fleet.sites(needs)
-    moves = plan(needs, sites, SPEED)
+    moves = plan_moves(needs, sites, SPEED)
     assert [m.reason for m in moves if m.is_load][:2] == [Reason.UNREACHABLE] * 2
     run_until_stable(fleet, needs)
     (home,) = fleet.serving(Model("a"))
     del fleet.upstreams[home]
-    first = plan(needs, fleet.sites(needs), SPEED)[0]
+    first = plan_moves(needs, fleet.sites(needs), SPEED)[0]
     assert (first.model, first.reason) == (Model("a"), Reason.UNREACHABLE)
 
 
@@ -102,7 +102,7 @@
     run_until_stable(fleet, needs)
     (home,) = fleet.serving(Model("a"))
     fleet.upstreams[home].draining = True
-    (move,) = plan(needs, fleet.sites(needs), SPEED)
+    (move,) = plan_moves(needs, fleet.sites(needs), SPEED)
     assert move.is_load and move.upstream != home
 
 
@@ -138,7 +138,7 @@
     run_until_stable(fleet, needs_of(need("a", wanted=wanted)))
     needs = needs_of(need("a", wanted=wanted, revision="2"))
     for _ in range(6 * wanted):
-        fleet.apply(plan(needs, fleet.sites(needs), SPEED), needs)
+        fleet.apply(plan_moves(needs, fleet.sites(needs), SPEED), needs)
         fleet.now += 1.0
         assert len(fleet.serving(Model("a"))) >= wanted
     copies = [key for acc in fleet.upstreams.values() for key in acc.copies]
@@ -174,7 +174,7 @@
     needs = needs_of(need("a", wanted=1), need("b", wanted=1), need("c"))
     fleet = fleet_of(4, capacity=40.0)
     run_until_stable(fleet, needs_of(need("a", wanted=2), need("b", wanted=2)))
-    (unload,) = plan(needs, fleet.sites(needs), SPEED)
+    (unload,) = plan_moves(needs, fleet.sites(needs), SPEED)
     fleet.apply([unload], needs)
     targets = [
         replace(site, free=0.0) if site.upstream == unload.upstream else site
@@ -193,9 +193,9 @@
     run_until_stable(fleet, needs_of(need("a")))
     (home,) = fleet.serving(Model("a"))
     needs = needs_of(need("a", wanted=2, revision="2"))
-    fleet.apply(plan(needs, fleet.sites(needs), SPEED), needs)
+    fleet.apply(plan_moves(needs, fleet.sites(needs), SPEED), needs)
     fleet.now += 2.0
-    (move,) = plan(needs, fleet.sites(needs), SPEED)
+    (move,) = plan_moves(needs, fleet.sites(needs), SPEED)
     assert (move.is_load, move.upstream, move.revision) == (False, home, "1")
 
 
@@ -289,8 +289,8 @@
     unload = replace(load_of("m"), is_load=False)
     assert list(pacer.admit([unload] * 3, frozenset(), 9, 9, 0.0)) == [unload] * 3
     delay, slot = RetryBackoff(), (Model("m"), Upstream("u"))
-    delay.failed(slot, 0.0)
-    delay.failed(slot, 5.0)
+    delay.record_failure(slot, 0.0)
+    delay.record_failure(slot, 5.0)
     assert (delay.blocked_targets(8.9), delay.blocked_targets(9.0)) == ({slot}, set())
-    delay.succeeded(slot)
+    delay.record_success(slot)
     assert delay.blocked_targets(0.0) == set()
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -178,7 +178,7 @@
 
 
 def test_reads_caller_headers():
-    req = headers.read_caller(HEADERS)
+    req = headers.parse_caller(HEADERS)
     assert (req.model, req.adapter, req.timeout_s) == ("m1", "a3", 4.0)
     assert (req.prompt_tokens, req.output_tokens, req.api_key) == (1460, 80, "k1")
     assert [part.tokens for part in req.prompt_parts] == [800, 410]
@@ -186,13 +186,13 @@
 
 @pytest.mark.parametrize("text", ["", "x", "1460", "1460,", "-1,5", "1,2,3"])
 def test_unreadable_token_counts_are_ignored(text):
-    req = headers.read_caller({**HEADERS, "x-persimmonhitch-token-counts": text})
+    req = headers.parse_caller({**HEADERS, "x-persimmonhitch-token-counts": text})
     assert not req.has_token_counts
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-5", "soon", "1e99"])
 def test_unreadable_deadline_is_ignored(text):
-    req = headers.read_caller({**HEADERS, "x-persimmonhitch-request-deadline": text})
+    req = headers.parse_caller({**HEADERS, "x-persimmonhitch-request-deadline": text})
     assert req.timeout_s is None
 
 
@@ -236,7 +236,7 @@
     ],
 )
 def test_only_header_or_misdirected_status_means_not_run(status, fields, not_run):
-    assert headers.read_reply(status, fields).not_run is not_run
+    assert headers.parse_reply(status, fields).not_run is not_run
 
 
 @pytest.mark.parametrize(
@@ -253,4 +253,4 @@
     ],
 )
 def test_reads_rate_limit_of_upstream(fields, limit):
-    assert headers.read_limit(fields) == limit
+    assert headers.parse_limit(fields) == limit
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -76,7 +76,7 @@
     [({"store-era": "4"}, 4), ({}, None), ({"store-era": "x"}, None)],
 )
 def test_reads_era_of_reply(fields, era):
-    assert headers.read_era(fields) == era
+    assert headers.parse_era(fields) == era
 
 
 def test_reply_of_older_era_is_rejected():
