--- a/src/persimmonhitch/decide/admission.py
+++ b/src/persimmonhitch/decide/admission.py
@@ -9,9 +9,9 @@
 which to retry; every other request may wait.
 
 Only ``WAIT_ESTIMATE_WEIGHT`` of the predicted wait counts, because predictions err in
-both directions: a refused request that would have finished is a lost booking, whereas
-``FairQueue.expire`` finds a wrongly admitted request while it waits. ``MAX_QUEUE_S``
-bounds the queue of an upstream for callers whose deadlines are far too long.
+both directions: a wrongly refused request, such as a booking, is lost, whereas
+``FairQueue.expire`` removes a wrongly admitted request while it waits. ``MAX_QUEUE_S``
+bounds the queue of an upstream when callers set very long deadlines.
 """
 
 from dataclasses import dataclass
@@ -149,8 +149,8 @@
 class ServiceRate:
     """Tokens per second that an upstream serves while requests wait for it.
 
-    An upstream with an empty queue serves only the requested tokens. Measured as its
-    speed, that low rate would predict long waits for the next burst.
+    An upstream with an empty queue serves only the requested tokens. If that low rate
+    were taken for its capacity, long waits would be predicted for the next burst.
     """
 
     def __init__(self) -> None:
--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -8,8 +8,8 @@
 
 A window needs ``MIN_SAMPLES`` samples for a meaningful 95th percentile. Increases by
 one and decreases by a tenth keep the limit near the target with small oscillations.
-Until the first decrease the limit doubles, so that an engine that has just started
-does not refuse a burst for a minute.
+Until the first decrease the limit doubles, so that an engine that has just started does
+not refuse a burst for a minute.
 """
 
 from dataclasses import dataclass
@@ -79,7 +79,7 @@
     Parameters
     ----------
     targets : LatencyTargets
-        Latencies to stay within.
+        Upper bounds of the measured latencies.
     bounds : LimitRange
         Bounds and step sizes.
     """
--- a/src/persimmonhitch/decide/copy_count.py
+++ b/src/persimmonhitch/decide/copy_count.py
@@ -3,19 +3,21 @@
 Load pattern: demand for one model changes tenfold within an hour, and fluctuates by a
 factor of two from one minute to the next.
 
-A count that followed the instantaneous demand would load a copy at each peak and
-unload it at each dip. The weight store rations loads, so a model that has just become
-unreachable would wait behind them, and each new copy starts with a cold prefix cache.
+A count that followed the instantaneous demand would load a copy at each peak and unload
+it at each dip. The weight store limits the rate of loads, so these loads would delay
+that of a model that has just become unreachable, and each new copy starts with a cold
+prefix cache.
 
 Thresholds: rising demand is smoothed with ``RISE_S`` (15 s), which reaches 90% of a
-step within 35 s, less than a load takes. Falling demand is smoothed with ``FALL_S``
-(15 min), longer than a dip between two bursts and short compared to an hour. Copies
-are planned for ``TARGET_LOAD`` (0.7), so that one more burst still meets the
-latency target for the first token. A copy is removed only if the others would stay
-below ``REMOVAL_LOAD`` (0.5), one at a time and ``REMOVAL_WAIT_S`` (120 s) apart. A
-model that fills ``SPARE_LOAD`` (0.3) of an upstream gets one spare copy, since after
-the loss of its only copy many callers would be refused for the duration of a load.
-docs/notes/placement.md compares these thresholds with a count that follows the demand.
+step within 35 s, less than a load takes. Falling demand is smoothed with ``FALL_S`` (15
+min), longer than a dip between two bursts and short compared to an hour. Copies are
+planned for ``TARGET_LOAD`` (0.7 of an upstream's rate), so that one more burst still
+meets the latency target for the first token. Copies are removed one at a time,
+``REMOVAL_WAIT_S`` (120 s) apart, and only if the load of the remaining copies stays
+below ``REMOVAL_LOAD`` (0.5). A model that fills ``SPARE_LOAD`` (0.3) of an upstream
+gets one spare copy, since after the loss of its only copy many callers would be refused
+for the duration of a load. docs/notes/placement.md compares these thresholds with a
+count that follows the demand.
 """
 
 import math
@@ -57,7 +59,7 @@
 
     wanted: int = 1
     floor: int = 1
-    """Copies that the current demand requires, without the spare and the hysteresis."""
+    """Copies that the current demand requires, without a spare or delayed removals."""
     _changed_at: float = field(default=-math.inf)
 
     def update(self, demand: float, rate: float, now: float) -> int:
@@ -84,6 +86,7 @@
     """Smoothed demand and wanted copies of all models."""
 
     rate: float
+    """Tokens per second that one upstream serves."""
     _demands: dict[Model, SmoothedDemand] = field(default_factory=dict)
     _counts: dict[Model, CopyCount] = field(default_factory=dict)
 
--- a/src/persimmonhitch/decide/demand.py
+++ b/src/persimmonhitch/decide/demand.py
@@ -2,10 +2,10 @@
 
 Load pattern: demand for a model rises from nothing to a third of the total within
 seconds, and requests for a rare model arrive at long intervals. A slow average follows
-the rise too late; a fast one forgets the rare model between two requests, and the model
-is evicted. The larger of a fast and a slow average is used: ``FAST_TAU_S`` follows a
-rise within two seconds, and ``SLOW_TAU_S``, weighted by ``SLOW_WEIGHT``, retains the
-demand of the last half minute.
+the rise too late; a fast average falls to zero between two requests for the rare model,
+which is then evicted. The larger of a fast and a slow average is used: ``FAST_TAU_S``
+follows a rise within two seconds, and ``SLOW_TAU_S``, weighted by ``SLOW_WEIGHT``,
+retains the demand of the last half minute.
 """
 
 import math
--- a/src/persimmonhitch/decide/dispatch.py
+++ b/src/persimmonhitch/decide/dispatch.py
@@ -1,26 +1,26 @@
-"""Choose the upstream for a request, or the step that it needs first.
+"""Choose the upstream for a request, or the step required before it can be sent.
 
 Load pattern: an engine batches up to a number of slots and reads prompts one after the
 other. Several entries send to the same engines, and each sees the work of the others a
 fraction of a second late. A request sent to a full engine queues there behind others
-whatever its rank. Where prompts and answers together exceed the KV memory of an engine,
-the engine preempts a request in the middle of its answer and reads its prompt again.
+regardless of its rank. If prompts and answers together exceed the KV memory of an
+engine, the engine preempts a request during its answer and reads its prompt again.
 
 Requests therefore wait at the entry until an engine has a free slot and free memory,
 and go to the engine with the earliest expected first token. Loading an adapter takes
-some ten milliseconds and a slot that another adapter may need: ``ADAPTER_LOAD_COST_S``
-keeps requests where their adapter is resident until other engines are clearly sooner.
-``CROSS_ZONE_COST_S`` stands for a round trip between availability zones, a few
-milliseconds, and for the traffic that is billed. ``DEFAULT_READ_RATE`` applies until an
-engine's own rate is known.
+some ten milliseconds and a slot that another adapter may need. ``ADAPTER_LOAD_COST_S``
+therefore favours engines on which the adapter is resident, unless another engine is
+clearly faster. ``CROSS_ZONE_COST_S`` covers a round trip between availability zones, a
+few milliseconds, and the billed traffic between them. ``DEFAULT_READ_RATE`` applies
+until an engine's own rate is known.
 
 Dozens of entries with the same view of the fleet would all choose the same engine and
 send it every request that arrives before the next update; an engine that joins or
 returns would get all of them. The choice is therefore random between the best engine
 and those that differ from it only in their wait, with a higher probability the closer
-the waits are. Waits that differ by less than the mean of all waits count as
-uncertain: with so many tokens to read, about as many again have been sent that no
-update has reported. Where engines are idle, the view is up to date.
+the waits are. A difference below the mean of all waits is regarded as uncertain, since
+about as many unread tokens as the updates report have been sent since the last update.
+The view of idle engines is up to date.
 """
 
 import math
@@ -34,9 +34,9 @@
 from ..ids import Adapter, Fingerprint, Model, Service, Upstream, Zone
 
 ADAPTER_LOAD_COST_S: Final = 0.08
-"""Extra wait accepted to use an engine on which the adapter is resident."""
+"""Additional wait accepted to use an engine on which the adapter is resident."""
 CROSS_ZONE_COST_S: Final = 0.04
-"""Extra wait accepted to stay within the availability zone."""
+"""Additional wait accepted to stay within the availability zone."""
 DEFAULT_READ_RATE: Final = 15_000.0
 """Prompt tokens per second that an engine reads; a third below the published rate of an
 engine that does nothing else."""
@@ -57,6 +57,7 @@
     adapter: Adapter | None
     prompt_tokens: int
     kv_tokens: int
+    """KV memory that the request may use, in tokens."""
     rank: int
     arrived: float
     latency_target_at: float
@@ -77,6 +78,7 @@
     running: int
     kv_tokens: int
     unread: int
+    """Prompt tokens that the engine has yet to read."""
     has_model: bool
     has_adapter: bool
     loads_adapters: bool = True
@@ -93,13 +95,13 @@
 
     SEND = "send"
     LOAD_ADAPTER = "fetch"
-    """Have the adapter loaded at the upstream, then choose again."""
+    """Load the adapter at the upstream, then choose again."""
     LOAD = "load"
     """The model is resident on no upstream."""
     WAIT = "wait"
     """All upstreams that can run the request are full."""
     WAIT_FOR_MODEL = "wait_to_fetch"
-    """No upstream has the adapter, and all that have its model load another model."""
+    """No upstream has the adapter, and those with its model are loading another one."""
     NO_UPSTREAM = "none"
     """There is no candidate upstream."""
 
@@ -171,7 +173,7 @@
 def _choose_near_best(
     views: Sequence[UpstreamView], request: DispatchRequest, zone: Zone, sample: float
 ) -> UpstreamView:
-    """Return the best upstream, or one that differs by an uncertain wait alone."""
+    """Return the best upstream, or one whose wait differs by an uncertain amount."""
     costs = [weighted_wait(view, request, zone) for view in views]
     error = max(MIN_WAIT_ERROR_S, mean(view.unread / view.read_rate for view in views))
     least = min(costs)
@@ -189,6 +191,6 @@
 
 
 def _is_equivalent(view: UpstreamView, best: UpstreamView, zone: Zone) -> bool:
-    """Return whether an upstream differs from the best one in its wait alone."""
+    """Return whether an upstream differs from the best one only in its wait."""
     same_locality = (view.zone == zone) == (best.zone == zone)
     return same_locality and view.has_adapter == best.has_adapter
--- a/src/persimmonhitch/decide/drain_estimate.py
+++ b/src/persimmonhitch/decide/drain_estimate.py
@@ -1,9 +1,10 @@
 """Expected duration of an unload whose model still runs requests.
 
-Load pattern: demand moves, and a busy model is evicted for another one. Its unload
-waits for the requests that run, streams of seconds, and the engine accepts no other
-order meanwhile; callers of the new model are refused for all that time. A model that
-runs no request is unloaded at once. The duration is learned from completed unloads.
+Load pattern: demand moves, and a busy model is evicted for another one. The unload
+waits until the running requests of the model, streams of several seconds, have ended.
+The engine accepts no other order in this time, and callers of the new model are
+refused. A model without running requests is unloaded at once. The duration is estimated
+from completed unloads.
 """
 
 from dataclasses import dataclass
--- a/src/persimmonhitch/decide/eviction.py
+++ b/src/persimmonhitch/decide/eviction.py
@@ -1,7 +1,7 @@
-"""Memory for a load that finds none free: evict surplus copies, relocate sole copies.
+"""Make memory available for a load: evict surplus copies, relocate sole copies.
 
 A copy is surplus while enough other copies of its model serve; ``_FLOORS`` gives the
-number to keep for each reason of a load. A sole copy is relocated only for an
+required number for each reason of a load. A sole copy is relocated only for an
 unreachable model or a new revision: it is loaded elsewhere first, and a later round
 evicts the original.
 """
@@ -15,7 +15,7 @@
 MAX_SEARCHES: Final = 24
 """Searches for evictions per round."""
 MAX_RELOCATIONS: Final = 4
-"""Relocations per round after which no further one is started."""
+"""Number of relocations in a round after which no further relocation starts."""
 MAX_RELOCATION_TARGETS: Final = 64
 """Number of upstreams, by free memory, that are considered for a relocation."""
 
@@ -38,7 +38,7 @@
     Reason.DEMAND: _floor,
     Reason.HOTSPOT: _floor,
 }
-"""Copies that a model keeps when its memory is needed for another model."""
+"""Minimum number of copies of a model whose memory is needed for another model."""
 RELOCATION_REASONS: Final = (Reason.UNREACHABLE, Reason.REVISION)
 """Reasons of loads for which sole copies of other models are relocated."""
 
@@ -99,6 +99,7 @@
     def _evictions(
         self, need: ModelRequirement, target: PlacementTarget, reason: Reason
     ) -> list[Model] | None:
+        """Return the models to evict from a target, None if they free too little."""
         space = self.state.free[target.upstream] + self.state.freeing[target.upstream]
         if space + EPSILON >= need.memory:
             return []
@@ -146,6 +147,7 @@
             self.make_room(base, Reason.UNREACHABLE)
 
     def _clear(self, need: ModelRequirement, source: PlacementTarget) -> bool:
+        """Relocate sole copies from a source; return whether this frees enough."""
         shortfall = need.memory - self.state.free[source.upstream]
         relocations: list[tuple[ModelRequirement, Upstream]] = []
         used: set[Upstream] = {source.upstream}
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -1,18 +1,18 @@
 """Weighted fair queue in front of one upstream, shared by client accounts.
 
-Load pattern: one account sends several times its rate, or a few huge prompts, to an
-upstream that other accounts use too. A first-come, first-served queue would serve its
-backlog before all other requests; in this queue each account waits only behind its own
-requests.
+Load pattern: one account sends several times its usual rate, or a few huge prompts, to
+an upstream that other accounts use too. A first-come, first-served queue would serve
+its backlog before all other requests; in this queue a backlog delays only the requests
+of its own account.
 
 Each account has a virtual counter of tokens served, divided by its weight, and the
 account with the lowest counter is served next. The counter of an account that returns
 from idleness is raised to the virtual time, so that it neither accumulates credit while
 idle nor is in debt afterwards.
 
-Batch requests run when no interactive request waits. Under steady interactive load
-they would starve, so in the last quarter of its allowed time a batch request competes
-as an interactive one. A quarter of an overnight run's eight hours is enough at any fair
+Batch requests run when no interactive request waits. Under steady interactive load they
+would starve, so in the last quarter of its allowed time a batch request competes as an
+interactive one. A quarter of an overnight run's eight hours is enough at any fair
 share, and the other three quarters use the spare capacity of the night.
 """
 
@@ -24,11 +24,11 @@
 from ..wire.messages import Priority
 
 URGENT_FRACTION: Final = 0.25
-"""Last part of a batch request's allowed time, when it competes as interactive."""
+"""Final share of its allowed time in which a batch request competes as interactive."""
 FIRST_TOKEN_MARGIN_S: Final = 0.2
 """Part of the first-token target that the upstream itself uses, in seconds."""
 MAX_LEAD_TOKENS: Final = 1500.0
-"""Tokens by which an account may exceed its share to be served out of turn.
+"""Tokens by which an account that is served first may exceed its share.
 
 Applies to an account with a request that can still meet the first-token target, when
 all accounts with a lower counter have only late requests.
@@ -163,16 +163,16 @@
         return own_tokens + sum(others)
 
     def pick_excess(self) -> QueuedRequest | None:
-        """Return the newest item of the account with the most tokens for its weight."""
+        """Return the newest item of the account with the most tokens per weight."""
         nonempty = [queue for queue in self._queues.values() if queue.items]
         if not nonempty:
             return None
         return max(nonempty, key=lambda queue: queue.tokens / queue.weight).items[-1]
 
     def _remove_idle(self) -> None:
-        # A sidecar runs for weeks and serves a changing set of accounts. An idle
-        # account at or below the virtual time loses nothing: its counter would be
-        # raised to the virtual time anyway.
+        # Without this removal, memory use would grow over the weeks for which a sidecar
+        # runs, as the set of accounts changes. An idle account at or below the virtual
+        # time is not affected: its counter would be raised to the virtual time anyway.
         idle = [
             account
             for account, queue in self._queues.items()
@@ -231,8 +231,8 @@
 
         A plain bound refuses the next caller, no matter which account filled the
         queue, so an account within its rate would be refused while another floods.
-        Removing requests of the account with the most tokens for its weight, newest
-        first and batch before interactive, refuses the account that floods.
+        Removing requests of the account with the most tokens per weight, newest first
+        and batch before interactive, refuses the account that floods.
         """
         removed = []
         while self.tokens > max_tokens and len(self) > 1:
--- a/src/persimmonhitch/decide/health.py
+++ b/src/persimmonhitch/decide/health.py
@@ -7,15 +7,16 @@
 
 A connection that is refused or times out ejects an upstream at once, since it can run
 no request: for ``MIN_EJECT_S``, doubled at each repeat up to ``MAX_EJECT_S``. Failed
-answers eject it after ``EJECT_AFTER_FAILURES`` of the last ``WINDOW_ANSWERS``, since an
-upstream that loses some requests answers others in between. An upstream without output
-for ``UNRESPONSIVE_AFTER_S`` while requests run there gets no more of them: a VM without
-power refuses no connection, and each request sent there is lost only when its
-caller gives up.
+answers eject an upstream if they are ``EJECT_AFTER_FAILURES`` of its last
+``WINDOW_ANSWERS``; they need not be consecutive, since an upstream that loses some
+requests answers others in between. An upstream without output for
+``UNRESPONSIVE_AFTER_S`` while requests run there gets no further requests: a VM without
+power refuses no connection, and the loss of a request sent there would only be noticed
+when its caller gives up.
 
 An ejected upstream returns with one request at a time, and from its first good answer
-with a share that rises over ``RAMP_UP_S``, so that a fault that persists is found with
-few requests.
+with a share that rises over ``RAMP_UP_S``, so that a persistent fault affects few
+requests.
 """
 
 from collections.abc import Sequence
@@ -24,18 +25,18 @@
 
 MIN_EJECT_S: Final = 0.3
 MAX_EJECT_S: Final = 2.0
-"""Longest ejection. A restart takes a few seconds, and an upstream that has failed for
-good is removed from the list within about four."""
+"""Longest ejection. A restart takes a few seconds, and an upstream that has failed
+permanently is removed from the list of upstreams within about four."""
 WINDOW_ANSWERS: Final = 10
 EJECT_AFTER_FAILURES: Final = 4
-"""Failures among the last answers that eject an upstream. With random failures of one
-in ten, four of ten occur in one of a hundred windows."""
+"""Failures among the last answers that eject an upstream. If one answer in ten fails at
+random, about one window in a hundred contains four failures."""
 RAMP_UP_S: Final = 2.0
 MIN_TRAFFIC_SHARE: Final = 0.01
 """Share at which an upstream gets one request at a time."""
 MAX_EJECTED_SHARE: Final = 0.34
-"""Share of a service's upstreams that failed answers may eject. Where more of them
-fail, the cause is not the upstream, and the others could not serve all requests."""
+"""Share of a service's upstreams that failed answers may eject. If more of them fail,
+they have a common cause, and the others could not serve all requests."""
 UNRESPONSIVE_AFTER_S: Final = 0.7
 """Seconds without output; engines send a token each 10 to 50 ms, and plain services
 answer within the same time."""
@@ -49,7 +50,7 @@
     _ejected_until: float = 0.0
     _ejection_s: float = 0.0
     reachable: bool = True
-    """Whether it accepted connections at its last ejection."""
+    """Whether the upstream accepted connections at its last ejection."""
     _recovering_since: float | None = None
     """Time of the first good answer after the ejection."""
 
@@ -89,7 +90,7 @@
         self._recovering_since = None
 
     def traffic_share(self, now: float) -> float:
-        """Return the share of the usual traffic that it gets now, from 0 to 1."""
+        """Return the current share of the usual traffic, from 0 to 1."""
         if now < self._ejected_until:
             return 0.0
         if self._ejection_s == 0.0:
--- a/src/persimmonhitch/decide/load_rate.py
+++ b/src/persimmonhitch/decide/load_rate.py
@@ -1,11 +1,12 @@
-"""Rate of loads from the weight store.
+"""Rate limit of loads from the weight store.
 
 Load pattern: demand moves to models that no engine has cached, and every engine is to
-load at once. The weight store serves a few loads per second over all engines; beyond
-that each load takes longer, and callers of all the models wait. Loads start at the rate
-of the store with ``MAX_SAVED_LOADS`` saved, which keeps any window of some seconds
-under the rate with a margin for orders that engines carry out late. A new leader has no
-record of the loads started before its term, and begins with none saved.
+load at once. The weight store serves a few loads per second for all engines together;
+above that rate each load takes longer, and callers of all these models wait. Loads
+start at the rate of the store, and up to ``MAX_SAVED_LOADS`` unused loads are saved.
+This keeps the loads in any window of some seconds below the rate, with a margin for
+orders that engines execute late. A new leader has no record of earlier loads and
+therefore starts without saved loads.
 """
 
 from dataclasses import dataclass
@@ -29,6 +30,6 @@
         return self._saved >= 1.0 or rate <= 0
 
     def record_start(self, rate: float, now: float) -> None:
-        """Count a load that starts."""
+        """Record the start of a load."""
         self.may_start(rate, now)
         self._saved -= 1.0
--- a/src/persimmonhitch/decide/missing.py
+++ b/src/persimmonhitch/decide/missing.py
@@ -1,11 +1,12 @@
-"""Requested models that are resident on no engine, and since when.
+"""Requested models that are resident on no engine, and for how long.
 
 Load pattern: callers request more models than the engines have room for, and each rare
-model gets a request every few seconds. All of its callers are refused, and averages of
-the demand hardly show them. A model counts as missing from the first request that finds
-no engine until an engine has the model, however low its demand: a load that is lost
-with its engine serves no caller. A model without requests for ``DEMAND_TTL_S`` seconds
-is no longer missing, since its callers are not expected to retry.
+model gets a request every few seconds. All callers of a rare model are refused, and
+averages of the demand hardly include their requests. A model counts as missing from the
+first request that finds no engine until the model is resident, however low its demand.
+An order to load the model does not suffice, since the load may be lost with its engine.
+A model without requests for ``DEMAND_TTL_S`` seconds is no longer missing, since its
+callers are not expected to retry.
 """
 
 from collections.abc import Collection, Mapping
--- a/src/persimmonhitch/decide/moves.py
+++ b/src/persimmonhitch/decide/moves.py
@@ -17,7 +17,7 @@
 
 
 class Reason(Enum):
-    """Reason of a move; loads are ordered by it, in the order listed here."""
+    """Reason of a move; loads are sorted by reason in the order of the members."""
 
     UNREACHABLE = "unreachable"
     REVISION = "revision"
@@ -90,7 +90,7 @@
         return self.state.traffic[target.upstream] >= self.rate * RELIEF_TARGET_LOAD
 
     def by_demand(self, target: PlacementTarget) -> list[Model]:
-        """Return the models of a target, those with the least demand first."""
+        """Return the models of a target by increasing demand per copy."""
         return sorted(target.copies, key=lambda model: self.state.copy_demand(model))
 
     def load(self, need: ModelRequirement, upstream: Upstream, reason: Reason) -> None:
--- a/src/persimmonhitch/decide/outliers.py
+++ b/src/persimmonhitch/decide/outliers.py
@@ -1,21 +1,20 @@
 """Ejection of upstreams that are slower than their peers or fail.
 
 Load pattern: one slow upstream. It answers, so no request counts as failed, yet every
-caller routed to it waits; and since it finishes fewer requests, a balance by in-flight
-requests still sends it a considerable part of the traffic. An upstream is compared
-with the peers that serve the same models, and only an upstream slow relative to them
-is ejected. If all are slow, the cause is the load, and an ejection would leave
-more of it to the rest.
-
-The compared latency is the gap between tokens, which depends neither on the length of
-a request nor on queueing or a cold cache. An outlier exceeds both ``SLOW_FACTOR`` times
-the median of its peers and ``TOKEN_GAP_TARGET_S``, because load alone does not: a
-healthy busy upstream may be several times slower than idle peers, but its concurrency
-limit keeps the gap within the target. At most ``MAX_EJECTED_FRACTION`` of the
-upstreams are ejected at a time. If all copies of a model are ejected, or its only copy
-is, they receive its traffic as if none were. After ``BASE_EJECTION_S``, doubled at each
-repeat, the traffic share of an upstream ramps up again, so that an upstream that is
-still slow is detected with few callers affected.
+caller routed to it waits. Balancing by the number of in-flight requests still sends it
+a considerable part of the traffic. An upstream is compared with the peers that serve
+the same models, and only an upstream slow relative to them is ejected. If all are slow,
+the cause is the load, and an ejection would increase the load of the others.
+
+The compared latency is the gap between tokens, which depends neither on the length of a
+request nor on queueing or a cold cache. An outlier exceeds both ``SLOW_FACTOR`` times
+the median of its peers and ``TOKEN_GAP_TARGET_S``, because load alone exceeds only the
+former: a healthy busy upstream may be several times slower than idle peers, but its
+concurrency limit keeps the gap within the target. At most ``MAX_EJECTED_FRACTION`` of
+the upstreams are ejected at a time. If all copies of a model, or its only copy, are
+ejected, they receive its traffic as if none were ejected. After ``BASE_EJECTION_S``,
+doubled at each repeat, the traffic share of an upstream ramps up again, so that an
+upstream that is still slow is detected with few callers affected.
 """
 
 from collections import deque
