--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -1,17 +1,17 @@
 """Relay tree by which updates of each entry reach the whole fleet.
 
 Load pattern: every entry publishes updates a few times a second that all others need.
-Sent directly from each to each, they cost entries times entries messages: with dozens
-of entries more than the processor time and the links of a small VM, and requests of
-callers wait behind them.
+If each entry sent its updates directly to all others, the number of messages would grow
+with the square of the number of entries. With dozens of entries the messages would
+exceed the processor time and bandwidth of a small VM and delay callers' requests.
 
 The entries of a zone send to their parent, the first responsive entry in the order of
 their zone, and the parent relays updates to them. Roots, the entries without a parent,
 send to each other across the zones; there is one root in each zone, except while
-entries disagree for a moment. An entry that sends nothing for ``UNRESPONSIVE_AFTER_S``
-is skipped until it sends again, and is probed each ``PROBE_INTERVAL_S``. The order
-depends on the list of entries alone, so all entries agree without messages: VMs with
-the most processor time come first.
+entries briefly disagree about which of them respond. An entry that sends nothing for
+``UNRESPONSIVE_AFTER_S`` is skipped until it sends again, and is probed each
+``PROBE_INTERVAL_S``. The order depends on the list of entries alone, so all entries
+agree without messages: VMs with the most processor time come first.
 """
 
 import hashlib
@@ -25,7 +25,7 @@
 from ..ids import Vm, Zone
 
 UNRESPONSIVE_AFTER_S: Final = 0.7
-"""Seconds without a message after which a neighbour is skipped: three missed beats."""
+"""Seconds without a message, three missed updates, after which to skip a neighbour."""
 NEIGHBOUR_TTL_S: Final = 1.5
 """Seconds after its last message for which an entry receives updates in return."""
 PROBE_INTERVAL_S: Final = 0.5
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class Member:
-    """One entry of the fleet; ``cores`` is the processor time of its VM."""
+    """One entry of the fleet; ``cores`` is the number of processor cores it may use."""
 
     vm: Vm
     zone: Zone
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class Routes:
-    """Entries to which one entry sends at this moment."""
+    """Entries to which one entry currently sends."""
 
     parent: Vm | None = None
     children: frozenset[Vm] = frozenset()
@@ -104,7 +104,7 @@
         self._senders[direction][vm] = now
 
     def routes(self, now: float) -> Routes:
-        """Return the entries to send to now."""
+        """Return the entries to which to send now."""
         awaited, self._awaited = self._awaited, {}
         zone_members = self._zones.get(self.local.zone, [self.local])
         preceding = [m.vm for m in zone_members[: zone_members.index(self.local)]]
@@ -131,7 +131,7 @@
         return sum(_rank(member) < _rank(self.local) for member in members)
 
     def _ranks_after(self, vm: Vm, now: float) -> bool:
-        """Return whether a neighbour is after this entry in order, or unresponsive."""
+        """Return whether a neighbour follows this entry in order or is unresponsive."""
         if now - self._received_at.get(vm, -math.inf) > UNRESPONSIVE_AFTER_S:
             return True
         members = [member for found in self._zones.values() for member in found]
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -1,16 +1,17 @@
 """Start loads at the rate of the weight store.
 
-Load pattern: an availability zone fails or returns, and the planner orders hundreds of
+Load pattern: an availability zone fails or recovers, and the planner orders hundreds of
 copies at the same moment from one weight store.
 
-Without pacing, all loads start at once, each slows down all others past the number
-that the store serves at full speed, and models without any copy get theirs no earlier
-than models that get a spare one. While the store is down, a planner that repeats its
-orders each period would start all of them at the moment of its return.
+Without pacing, all loads start at once. Each load above the number that the store
+serves at full speed slows down all others, and the first copy of a model is loaded no
+earlier than spare copies of other models. A planner that repeats its orders in each
+period while the store is unavailable would start all of them as soon as the store is
+available again.
 
 Thresholds: loads per second, concurrent loads and concurrent adapter loads are settings
-of the deployment. Up to ``BURST_S`` of unused starts are saved, so that a planner
-with rounds of several seconds can use the whole rate. A failed load is retried after
+of the deployment. Up to ``BURST_S`` of unused starts are saved, so that a planner with
+rounds of several seconds can use the whole rate. A failed load is retried after
 ``MIN_RETRY_DELAY_S``, doubled at each failure up to ``MAX_RETRY_DELAY_S``.
 """
 
@@ -46,7 +47,7 @@
     max_models_loading: int
     max_adapters_loading: int
     round_interval_s: float = 0.0
-    """Seconds between rounds of the planner; starts of one round are saved."""
+    """Seconds between rounds of the planner; unused starts of this time are saved."""
     _starts: float = 1.0
     _last_at: float | None = None
 
@@ -58,7 +59,7 @@
         adapters_loading: int,
         now: float,
     ) -> Iterator[Move]:
-        """Yield the moves that may start now, in order; unloads always may."""
+        """Yield the moves that may start now, in order; unloads are never delayed."""
         self._refill(now)
         free_slots = {
             True: self.max_adapters_loading - adapters_loading,
@@ -83,7 +84,7 @@
 
 @dataclass
 class RetryBackoff:
-    """Delays the retry of a failed load, exponentially with its failures."""
+    """Exponential backoff for the retries of failed loads."""
 
     _failures: dict[LoadTarget, tuple[int, float]] = field(default_factory=dict)
 
--- a/src/persimmonhitch/decide/placement.py
+++ b/src/persimmonhitch/decide/placement.py
@@ -1,19 +1,19 @@
 """Placement of model copies: all models reachable, with few moves.
 
 Load pattern: hundreds of models share few accelerators, the demand for each changes
-tenfold within an hour, and upstreams fail, drain and come back empty.
+tenfold within an hour, and upstreams fail, drain and restart without models.
 
 A placement recomputed from scratch at each change moves models needlessly, and each
 move costs a load from the rationed weight store and a cold cache. A placement that
 never changes leaves a popular model on one copy and the models of a failed upstream
 unreachable.
 
-Moves stay few because copies above the wanted number stay until their memory is
-needed, so a dip followed by a rise causes no move. A load uses free memory first, then
-the memory of surplus copies, and relocates a sole copy only for an unreachable model
-or a new revision. Hotspots get another copy only above ``HOTSPOT_LOAD`` (0.85 of an
-upstream's rate, where queueing delay grows steeply), and only on an upstream below
-``RELIEF_TARGET_LOAD`` (0.5), so that the move creates no new hotspot. ``MAX_LOADS``
+Copies above the wanted number are retained until their memory is needed, so that a dip
+followed by a rise causes no move. A load uses free memory first, then the memory of
+surplus copies, and relocates a sole copy only for an unreachable model or a new
+revision. Hotspots get another copy only above ``HOTSPOT_LOAD`` (0.85 of an upstream's
+rate, where queueing delay grows steeply), and only on an upstream below
+``RELIEF_TARGET_LOAD`` (0.5), so that the load creates no new hotspot. ``MAX_LOADS``
 (64) and ``MAX_SEARCHES`` (24) keep the computation of one round below its period for
 590 models on 5,500 upstreams; no weight store of this platform starts that many loads
 in a period of 5 s.
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Moves to make now, the most urgent first, and loads without a target."""
+    """Moves to make now, most urgent first, and loads for which no target was found."""
 
     moves: tuple[Move, ...]
     unplaced: tuple[tuple[Model, Reason], ...]
--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -2,8 +2,9 @@
 
 Load pattern: an upstream crashes as soon as it begins to run a certain request, and the
 caller repeats the request under other ids, at any entry. Each repeat costs an upstream
-and all requests in progress there. These other requests are repeated as well and may
-be lost in the next crash too, so that presence at several crashes proves nothing.
+and all requests in progress there. These other requests are repeated as well and may be
+lost in the next crash too, so that a request lost in several crashes is not necessarily
+their cause.
 
 Entries report to each other which requests were lost with an upstream, whether its
 process has ended, and which requests have completed. A request that completes is
@@ -11,8 +12,8 @@
 to run or had no answer yet; requests whose answer was in progress for a time are
 suspected only if no others are left. A crash is explained if a blocked request was
 among its suspects. A request suspected of ``SUSPECT_CRASHES`` runs in isolation and in
-one copy, so that the next crash has one possible cause. After ``BLOCK_CRASHES`` that
-nothing else explains, the request is blocked for ``BLOCK_TTL_S``.
+one copy, so that the next crash has one possible cause. After ``BLOCK_CRASHES``
+unexplained crashes, the request is blocked for ``BLOCK_TTL_S``.
 """
 
 import math
@@ -26,8 +27,8 @@
 K = TypeVar("K")
 
 SUSPECT_CRASHES: Final = 2
-"""Crashes from which on a request runs in isolation. After one crash most requests have
-only lost an answer and are retried at once."""
+"""Crashes after which a request runs in isolation. Most requests lost in a single crash
+did not cause the crash and are retried at once."""
 BLOCK_CRASHES: Final = 3
 """Unexplained crashes after which a request is blocked."""
 TIED_LIMIT: Final = 6
@@ -77,6 +78,7 @@
 @dataclass
 class _Crash:
     at: float
+    """Latest reported time at which the upstream lost a request."""
     received_at: float
     """When this entry received the first report of the crash."""
     confirmed: bool = False
@@ -246,7 +248,7 @@
         return instance in self._crashes
 
     def blocked_for(self, fingerprint: Fingerprint, now: float) -> float | None:
-        """Return the seconds for which a request stays blocked, None if it is not."""
+        """Return the seconds for which a request stays blocked, None if not blocked."""
         until = self._blocked.get(fingerprint)
         return None if until is None or until <= now else until - now
 
--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -7,11 +7,12 @@
 capacity at the same moment.
 
 One entry, the leader, therefore grants requests from a bucket at the rate of the
-upstream, from which its own load orders and inventory reports are taken as well. Other
-entries ask for one request at a time and are told when to ask again. An entry that gets
-no reply falls back to an equal share of the rate and starts with an empty bucket, since
-a failed leader may have granted the rest. A grant expires after ``GRANT_TTL_S``, so
-that grants of several seconds are not used at once.
+upstream. Its own load orders and inventory reports are charged to the same bucket.
+Other entries ask for one request at a time; the reply is a grant or the time after
+which to ask again. An entry that gets no reply falls back to an equal share of the rate
+and starts with an empty bucket, since a failed leader may have granted the available
+requests already. A grant expires after ``GRANT_TTL_S``, so that grants of several
+seconds are not used at once.
 """
 
 import math
@@ -25,13 +26,13 @@
 """Requests per second sent to an upstream that accepts fewer or none: without an answer
 no entry would learn that the limit has been lifted."""
 FALLBACK_RATE_PER_S: Final = 1.0
-"""Requests per second where the stated limit is malformed."""
+"""Requests per second if the stated limit is malformed."""
 BURST_REQUESTS: Final = 1.0
 BURST_S: Final = 0.25
 """The capacity of a bucket is ``BURST_REQUESTS`` plus the requests of this time."""
 MAX_ORDER_OVERDRAFT: Final = 1.0
-"""Requests by which load orders may exceed the rate; they load the models that requests
-wait for."""
+"""Requests by which load orders may exceed the rate, since requests wait for the models
+to be loaded."""
 REPORT_INTERVAL_S: Final = 1.0
 """Seconds between inventory reports, which leaves most of the rate to requests."""
 GRANT_TTL_S: Final = 0.6
@@ -68,12 +69,12 @@
             self._bucket.resize(rate, BURST_REQUESTS + rate * BURST_S)
 
     def grant_request(self, now: float) -> float:
-        """Grant a request; return 0, or the seconds until the next can be granted."""
+        """Grant a request and return 0, or return the seconds until the next grant."""
         self._bucket.advance(now, 0, 1)
         return self._bucket.spend(ONE_REQUEST) or 0.0
 
     def grant_order(self, now: float) -> bool:
-        """Take one load order from the bucket; return whether the rate allows it."""
+        """Charge one load order to the bucket; return whether the rate allows it."""
         self._bucket.advance(now, 0, 1)
         if self._bucket.level + MAX_ORDER_OVERDRAFT < ONE_REQUEST:
             return False
@@ -81,7 +82,7 @@
         return True
 
     def grant_report(self, now: float) -> bool:
-        """Take one report from the bucket; return whether the rate allows it."""
+        """Charge one report to the bucket; return whether the rate allows it."""
         if now - self.reported_at < REPORT_INTERVAL_S or self.grant_request(now) > 0:
             return False
         self.reported_at = now
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -8,15 +8,15 @@
 Demand is expressed in shares of the tokens that one engine reads. A copy serves up to
 ``COPY_CAPACITY``; demand beyond that queues. The relief of a further copy is the demand
 that no longer queues, and its cost is the demand that queues once other models are
-evicted for it. The last copy of a model counts for its whole demand times
-``LAST_COPY_WEIGHT``, since all of its callers are refused without it. Copies beyond the
-demand are worth a small share of it, because they spread the requests, and a last copy
-without demand is worth ``IDLE_COPY_VALUE``.
+evicted for it. The value of the last copy of a model is its whole demand times
+``LAST_COPY_WEIGHT``, since without this copy all callers of the model are refused. The
+value of a copy beyond the demand is a small share of the demand, because the copy
+spreads the requests. A last copy without demand has the value ``IDLE_COPY_VALUE``.
 
 A move is made only if the relief exceeds ``MIN_RELIEF_RATIO`` times the cost and a
-floor that grows with the time until the copy serves; a model stays for ``SETTLE_S``
-after its load. Otherwise models with rare requests would evict each other without end,
-and each would still be loading when a request for it arrives.
+floor that grows with the time until the copy serves; a model is not evicted for
+``SETTLE_S`` after its load. Otherwise models with rare requests would evict each other
+without end, and each would still be loading when a request for it arrives.
 """
 
 import math
@@ -44,27 +44,28 @@
 """Share of the demand for models with adapters that a second of loading disrupts: an
 engine accepts no adapter load while it loads a model."""
 IDLE_COPY_VALUE: Final = 0.004
-"""Value of a last copy after its demand has ended, as a share of an engine. It is low,
-since an engine reloads such a model from its disk within two seconds."""
+"""Value of a last copy after its demand has ended, as a share of an engine. The value
+is low, since an engine reloads the model from its disk within two seconds."""
 NEW_COPY_VALUE: Final = 0.08
 """Value of a last copy that has not been requested yet, as a share of an engine: one
-request per second. Demand moves to such models sooner than it returns to others."""
+request per second. Demand moves to a model without earlier requests sooner than it
+returns to a model whose demand has ended."""
 COPY_CAPACITY: Final = 0.5
 """Share of the tokens read by an engine that one copy serves without a queue."""
 EXTRA_COPY_WEIGHT: Final = 0.3
 """Value of a copy beyond the demand, as a share of the demand per copy."""
 OVERDUE_AFTER_S: Final = 6.0
-"""Seconds after which a missing model is loaded whatever it evicts: two thirds of
-a load from the weight store. By its value alone, a model with a request every second or
-two would never be loaded while the demand for other models exceeds the capacity of the
-engines, and all of its callers would be refused for as long."""
+"""Seconds after which a missing model is loaded regardless of the evicted models: two
+thirds of a load from the weight store. By its value alone, a model with a request every
+second or two would never be loaded while the demand for other models exceeds the
+capacity of the engines, and all of its callers would be refused for that time."""
 SETTLE_S: Final = 3.0
 """Seconds without eviction after a load: twice the duration of a load from disk."""
 
 
 @dataclass(frozen=True)
 class EngineView:
-    """State of one engine, which accepts an order in ``busy_s`` seconds."""
+    """State of one engine; ``busy_s`` is the time until it accepts another order."""
 
     upstream: Upstream
     memory_mb: float
@@ -173,10 +174,11 @@
     the overdue models that engines are loading already. Engines with cached weights are
     preferred, then evictions of low value. Return None if no model is overdue.
 
-    While few engines are loading, several overdue models may load at a time. One after
-    the other, callers of the last model would wait for the loads of all others. While
-    many engines are loading, further overdue loads would delay models of far higher
-    demand. An overdue load, such as one whose order was lost, delays no other.
+    While few engines are loading, several overdue models may load at a time. If they
+    were loaded one after the other, callers of the last model would wait for the loads
+    of all others. While many engines are loading, further overdue loads would delay
+    models of far higher demand. A load that should have ended by now, for example
+    because its order was lost, does not delay the loads of overdue models.
     """
     state = _PlacementState(specs, demand, list(engines))
     busy = [e for e in state.engines if not e.load_overdue and e.loading & set(loading)]
@@ -226,7 +228,7 @@
         floor = MIN_RELIEF_PER_S * move.total_s if state.copies.get(model) else 0.0
         gain = relief - MIN_RELIEF_RATIO * evicted_value - floor
         gain -= DISRUPTION_PER_S * move.total_s * _disrupted_demand(state, engine, move)
-        # Of two equal loads, prefer the one that ends sooner: callers wait for it.
+        # Of two equal loads, prefer the shorter one, since callers wait for its end.
         gain /= 1.0 + move.total_s
         if gain > 0 and (best is None or gain > best.gain):
             best = _Gain(gain, move)
@@ -253,12 +255,12 @@
 ) -> Move | None:
     """Return a load that caches the weights of an uncached model on an idle engine.
 
-    ``usable`` gives the engines that may be used for it. Models that are requested and
-    resident nowhere, ``missing``, come first.
+    ``usable`` gives the engines that may be used for the load. Models in ``missing``,
+    which are requested and resident nowhere, have precedence.
 
-    Otherwise the first callers of such a model would wait for a load from the weight
-    store, which takes several times as long as one from a disk, and longer than the
-    deadlines of many requests.
+    Without staging, the first callers of an uncached model would wait for a load from
+    the weight store, which takes several times as long as a load from a disk, and
+    longer than the deadlines of many requests.
     """
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in missing if m in specs and not state.copies.get(m)]
@@ -308,10 +310,10 @@
 
 
 def _staging_cost(state: _PlacementState, move: Move) -> tuple[int, int]:
-    """Prefer few evictions, and models with few copies: further copies have a reason.
+    """Return a sort key that prefers few evictions, and of models with few copies.
 
-    Evicted models are restored later, but if a busy model has lost a copy when its
-    first callers arrive, all of them wait.
+    A model with several copies is expected to be busy. Evicted models are restored
+    later, but if a busy model lacks a copy when its first callers arrive, they wait.
     """
     return len(move.evicted), sum(state.copies.get(model, 1) for model in move.evicted)
 
--- a/src/persimmonhitch/decide/retries.py
+++ b/src/persimmonhitch/decide/retries.py
@@ -1,10 +1,10 @@
 """Retry budget and the failures that may be retried at another upstream.
 
 Load pattern: an upstream fails under load. If each request were retried, a fleet at its
-limit would get twice the load when it can serve least, and would stay overloaded after
-the failure has ended. Retries are limited to a tenth of the requests, which covers the
-loss of one upstream in ten. ``MIN_RETRIES_PER_S`` allows retries to an entry with few
-requests.
+limit would get twice the load when its capacity is lowest, and would remain overloaded
+after the failure has ended. Retries are limited to a tenth of the requests, which
+covers the loss of one upstream in ten. ``MIN_RETRIES_PER_S`` allows retries to an entry
+with few requests.
 """
 
 from typing import Final
@@ -29,7 +29,7 @@
 """Retries earned per request."""
 MIN_RETRIES_PER_S: Final = 1.0
 MAX_SAVED: Final = 20.0
-"""Retries that a budget accumulates at most."""
+"""Maximum number of retries that a budget accumulates."""
 
 
 class RetryBudget:
@@ -65,7 +65,7 @@
     """Return whether a failed request may be retried at another upstream.
 
     A request that may have run is retried only if the operators have listed it as
-    repeatable. Otherwise a booking could be made twice.
+    repeatable. Otherwise its effect, such as a booking, could occur twice.
     """
     if failure.verdict is Verdict.NOT_RUN:
         return failure.code in RETRYABLE_ELSEWHERE
--- a/src/persimmonhitch/decide/routing.py
+++ b/src/persimmonhitch/decide/routing.py
@@ -102,14 +102,15 @@
         """Update the load and, if the upstream is busy, its rate from a report."""
         busy = report.queued > 0 or report.running >= report.concurrency_limit
         if report.token_rate > 0.0:
-            # An upstream with spare capacity serves only the requested tokens. Used
-            # as its speed, that rate would make idle upstreams look slow, and a
-            # burst would be sent to the busy ones.
+            # An upstream with spare capacity serves only the requested tokens. If that
+            # rate were taken for its capacity, idle upstreams would be considered slow,
+            # and a burst would be sent to the busy ones.
             rate = report.token_rate if busy else max(report.token_rate, self.rate)
             self.rate += (EWMA_WEIGHT if self.rate > 0.0 else 1.0) * (rate - self.rate)
         self._idle_reports = self._idle_reports + 1 if report.running == 0 else 0
         if self._idle_reports >= MAX_IDLE_REPORTS:
-            # An upstream considered slow gets no requests to prove otherwise.
+            # An upstream considered slow gets no requests by which its rate could be
+            # measured again.
             self.rate = 0.0
         reported = report.queued_tokens + report.running * MEAN_REMAINING_TOKENS
         self._others_tokens = max(reported - self._in_flight_tokens, 0.0)
@@ -135,8 +136,8 @@
 def _fill_missing_rates(candidates: Sequence[Candidate]) -> list[Candidate]:
     """Assume the fastest known rate for candidates whose rate is unknown.
 
-    A fixed default below the rate of the peers made an upstream that was never busy
-    look slow, and its busy peers got more requests (simulation, pattern flood).
+    With a fixed default below the rate of the peers, an upstream that was never busy
+    would be considered slow, and its busy peers would get more requests.
     """
     fastest = max(each.rate for each in candidates)
     default = fastest if fastest > 0.0 else DEFAULT_RATE
@@ -166,7 +167,7 @@
 
 
 def _sample_by_share(candidates: Sequence[Candidate], rng: Random) -> list[Candidate]:
-    """Keep each candidate with a probability equal to its traffic share."""
+    """Select each candidate with a probability equal to its traffic share."""
     kept = [each for each in candidates if rng.random() < each.share]
     if kept:
         return kept
--- a/src/persimmonhitch/decide/targets.py
+++ b/src/persimmonhitch/decide/targets.py
@@ -30,7 +30,7 @@
     """One upstream: its memory in GiB and its copies.
 
     ``free`` is reported by the sidecar. It is less than the capacity minus all copies
-    while a delayed order may still arrive. ``accepting`` tells whether the upstream
+    while a delayed order may still arrive. ``accepting`` states whether the upstream
     accepts loads.
     """
 
@@ -59,7 +59,7 @@
     demand: float
     wanted: int
     floor: int = 1
-    """Copies that the current demand requires, without the spare and the hysteresis."""
+    """Copies that the current demand requires, without a spare or delayed removals."""
 
 
 class PlacementState:
@@ -143,7 +143,7 @@
         return {self.targets[upstream].zone for upstream in upstreams}
 
     def adapters_at(self, base: Model, target: PlacementTarget) -> list[Model]:
-        """Return the adapters of a base model that a target has."""
+        """Return the adapters of a base model of which a target has copies."""
         adapters = []
         for model in target.copies:
             need = self.needs.get(model)
--- a/src/persimmonhitch/decide/wait_limits.py
+++ b/src/persimmonhitch/decide/wait_limits.py
@@ -1,14 +1,15 @@
 """Time limits of waiting requests, and the refusals after them.
 
 Load pattern: for seconds, callers request more than the engines can serve, or a model
-that is resident on no engine. A request that is refused at its deadline has cost the
-caller all the time in which a retry or another service could have answered; a request
-refused too early fails although a slot became free a moment later.
+that is resident on no engine. A request refused only at its deadline costs the caller
+the time in which a retry or another service could have answered; a request refused too
+early fails although a slot would have become free a moment later.
 
 A request waits as long as its answer can still meet the latency target of its route;
-after that a later retry serves the caller as well. ``MIN_WAIT_S`` keeps the
-delay of a message from refusing requests with hardly any latency target. Retry times
-are spread by ``RETRY_JITTER``, so that callers refused together do not retry together.
+after that a later retry serves the caller as well. ``MIN_WAIT_S`` prevents the refusal
+of a request with a very short latency target merely because a message is delayed. Retry
+times are spread by ``RETRY_JITTER``, so that callers refused together do not retry
+together.
 """
 
 import random
@@ -30,8 +31,8 @@
 """Seconds within which the leader answers whether an upstream that limits its requests
 accepts one more."""
 LOAD_WAIT_SHARE: Final = 0.6
-"""Share of its time that a request spends on a load; the rest covers the queue of
-requests that waited for the same load, and the answer."""
+"""Share of the time until its deadline that a request may wait for a load; the rest
+covers the queue of requests that waited for the same load, and the answer."""
 FIRST_EVENT_S: Final = 0.4
 """Seconds from the end of a load to the first event: the adapter load and the prompt
 of this request and of others that waited for the same load."""
--- a/src/persimmonhitch/decide/waiting.py
+++ b/src/persimmonhitch/decide/waiting.py
@@ -1,16 +1,17 @@
 """Expected wait for a model that no upstream serves yet.
 
 Load pattern: the last copy of a model has failed, or its first one is loading, while
-requests for it still arrive. Refused at once, all callers see errors for a load that
-ends in seconds. Left to wait until their deadlines, requests with little time are
-refused too late to retry, and occupy threads that others need.
+requests for it still arrive. If all were refused at once, callers would see errors for
+a load that ends in seconds. If all requests waited until their deadlines, requests with
+little time would be refused too late to retry, and would occupy threads that others
+need.
 
 The expected wait is the typical duration of a load less the time for which the model
-has been missing. ``INITIAL_LOAD_S`` is used until a load was recorded: the duration of
-a load from the weight store's stand-in. ``INITIAL_RESTART_S`` is that of a service's
-sidecar, which loads no model. A load that takes longer than usual may end at any
-moment, hence ``MIN_REMAINING_S``; after ``MAX_OVERDUE_FACTOR`` typical durations it
-counts as failed, and a whole load is expected.
+has been missing. Until the first load is recorded, the duration is ``INITIAL_LOAD_S``,
+that of a load from the stand-in of the weight store, or ``INITIAL_RESTART_S`` for a
+service whose sidecar restarts without loading a model. A load that takes longer than
+usual may end at any moment, hence ``MIN_REMAINING_S``; after ``MAX_OVERDUE_FACTOR``
+typical durations it counts as failed, and a whole load is expected.
 """
 
 from typing import Final
