--- a/scripts/measure_config.py
+++ b/scripts/measure_config.py
@@ -24,7 +24,7 @@
 from fleet import Fleet, wait_for
 from relay import Relay
 
-from persimmonhitch.catalog.election import ranked
+from persimmonhitch.catalog.election import rank_vms
 from persimmonhitch.ids import Vm
 
 IN_FORCE_LINE = re.compile(r"ts=(\S+) event=config_in_force version=(\d+)")
@@ -49,7 +49,7 @@
     fleet.record_urls("port", "store")
     relay = Relay(int(fleet.urls["store"].rpartition(":")[2]))
     fleet.urls["relay"] = f"http://127.0.0.1:{relay.port}"
-    relayed = set(ranked("r1", [Vm(name) for name in names])[:cut])
+    relayed = set(rank_vms("r1", [Vm(name) for name in names])[:cut])
     for name in names:
         fleet.entry(name, store="relay" if name in relayed else "store")
     fleet.record_urls("http", *names)
--- a/src/persimmonhitch/catalog/changes.py
+++ b/src/persimmonhitch/catalog/changes.py
@@ -62,7 +62,7 @@
     keys: tuple[KeyEntry, ...] = ()
     deleted: tuple[Ref, ...] = ()
 
-    def puts(self) -> Iterator[tuple[Ref, Entry]]:
+    def upserts(self) -> Iterator[tuple[Ref, Entry]]:
         """Yield every entry put, with its name."""
         for plan in self.plans:
             yield Ref(EntryKind.PLAN, plan.name), plan
@@ -75,12 +75,12 @@
         for key in self.keys:
             yield Ref(EntryKind.KEY, key.hash), key
 
-    def touched(self) -> frozenset[Ref]:
+    def changed_refs(self) -> frozenset[Ref]:
         """Return every entry that it puts or deletes."""
-        return frozenset(ref for ref, _ in self.puts()) | frozenset(self.deleted)
+        return frozenset(ref for ref, _ in self.upserts()) | frozenset(self.deleted)
 
     def __bool__(self) -> bool:
-        return bool(self.touched())
+        return bool(self.changed_refs())
 
 
 @dataclass(frozen=True)
@@ -103,16 +103,16 @@
     return ChangeId(secrets.token_hex(ID_BYTES))
 
 
-def _merged(old: dict[K, V], puts: dict[K, V], deleted: set[str]) -> dict[K, V]:
-    kept = {key: entry for key, entry in old.items() if key not in deleted}
-    return {**kept, **puts}
+def _merge(old: dict[K, V], upserts: dict[K, V], deleted: set[str]) -> dict[K, V]:
+    remaining = {key: entry for key, entry in old.items() if key not in deleted}
+    return {**remaining, **upserts}
 
 
-def merged(catalog: Catalog, delta: Delta, version: ConfigVersion) -> Catalog:
+def apply_delta(catalog: Catalog, delta: Delta, version: ConfigVersion) -> Catalog:
     """Return the catalog at ``version`` that a delta makes of an older one."""
-    gone: dict[EntryKind, set[str]] = {kind: set() for kind in EntryKind}
+    deleted: dict[EntryKind, set[str]] = {kind: set() for kind in EntryKind}
     for ref in delta.deleted:
-        gone[ref.kind].add(ref.name)
+        deleted[ref.kind].add(ref.name)
     plans = {entry.name: entry for entry in delta.plans}
     accounts = {entry.name: entry for entry in delta.accounts}
     models = {entry.name: entry for entry in delta.models}
@@ -120,11 +120,11 @@
     keys = {entry.hash: entry for entry in delta.keys}
     return Catalog(
         version=version,
-        plans=_merged(catalog.plans, plans, gone[EntryKind.PLAN]),
-        accounts=_merged(catalog.accounts, accounts, gone[EntryKind.ACCOUNT]),
-        models=_merged(catalog.models, models, gone[EntryKind.MODEL]),
-        services=_merged(catalog.services, services, gone[EntryKind.SERVICE]),
-        keys=_merged(catalog.keys, keys, gone[EntryKind.KEY]),
+        plans=_merge(catalog.plans, plans, deleted[EntryKind.PLAN]),
+        accounts=_merge(catalog.accounts, accounts, deleted[EntryKind.ACCOUNT]),
+        models=_merge(catalog.models, models, deleted[EntryKind.MODEL]),
+        services=_merge(catalog.services, services, deleted[EntryKind.SERVICE]),
+        keys=_merge(catalog.keys, keys, deleted[EntryKind.KEY]),
     )
 
 
@@ -136,10 +136,10 @@
     """
     if change.number != catalog.version + 1:
         return Err(f"change {change.number} does not follow {catalog.version}")
-    return Success(merged(catalog, change.delta, change.number))
+    return Success(apply_delta(catalog, change.delta, change.number))
 
 
-def entry_of(catalog: Catalog, ref: Ref) -> Entry | None:
+def find_entry(catalog: Catalog, ref: Ref) -> Entry | None:
     """Return the entry that a reference names, or None."""
     match ref.kind:
         case EntryKind.PLAN:
@@ -154,27 +154,27 @@
             return catalog.keys.get(KeyHash(ref.name))
 
 
-def _changed(old: dict[K, V], new: dict[K, V]) -> tuple[V, ...]:
+def _changed_entries(old: dict[K, V], new: dict[K, V]) -> tuple[V, ...]:
     return tuple(entry for key, entry in new.items() if old.get(key) != entry)
 
 
-def _gone(kind: EntryKind, old: dict[K, V], new: dict[K, V]) -> tuple[Ref, ...]:
+def _deleted_refs(kind: EntryKind, old: dict[K, V], new: dict[K, V]) -> tuple[Ref, ...]:
     return tuple(Ref(kind, str(key)) for key in old if key not in new)
 
 
 def diff(old: Catalog, new: Catalog) -> Delta:
     """Return what leads from one catalog to the other."""
     return Delta(
-        plans=_changed(old.plans, new.plans),
-        accounts=_changed(old.accounts, new.accounts),
-        models=_changed(old.models, new.models),
-        services=_changed(old.services, new.services),
-        keys=_changed(old.keys, new.keys),
-        deleted=_gone(EntryKind.PLAN, old.plans, new.plans)
-        + _gone(EntryKind.ACCOUNT, old.accounts, new.accounts)
-        + _gone(EntryKind.MODEL, old.models, new.models)
-        + _gone(EntryKind.SERVICE, old.services, new.services)
-        + _gone(EntryKind.KEY, old.keys, new.keys),
+        plans=_changed_entries(old.plans, new.plans),
+        accounts=_changed_entries(old.accounts, new.accounts),
+        models=_changed_entries(old.models, new.models),
+        services=_changed_entries(old.services, new.services),
+        keys=_changed_entries(old.keys, new.keys),
+        deleted=_deleted_refs(EntryKind.PLAN, old.plans, new.plans)
+        + _deleted_refs(EntryKind.ACCOUNT, old.accounts, new.accounts)
+        + _deleted_refs(EntryKind.MODEL, old.models, new.models)
+        + _deleted_refs(EntryKind.SERVICE, old.services, new.services)
+        + _deleted_refs(EntryKind.KEY, old.keys, new.keys),
     )
 
 
--- a/src/persimmonhitch/catalog/election.py
+++ b/src/persimmonhitch/catalog/election.py
@@ -11,7 +11,7 @@
 
 from ..ids import Vm
 
-WATCHERS: Final = 3
+MAX_WATCHERS: Final = 3
 """Entries of a region that watch the store: two may fail in the same second, and
 five regions of three ask 15 times a second."""
 
@@ -20,17 +20,17 @@
     return hashlib.sha256(f"{salt}/{vm}".encode()).digest()
 
 
-def ranked(salt: str, vms: Iterable[Vm]) -> list[Vm]:
+def rank_vms(salt: str, vms: Iterable[Vm]) -> list[Vm]:
     """Return VMs by rendezvous hash: one that goes moves only its own place."""
     return sorted(vms, key=lambda vm: _score(salt, vm), reverse=True)
 
 
-def watchers(region: str, vms: Iterable[Vm]) -> tuple[Vm, ...]:
+def elect_watchers(region: str, vms: Iterable[Vm]) -> tuple[Vm, ...]:
     """Return the VMs of a region that watch the store."""
-    return tuple(ranked(region, vms)[:WATCHERS])
+    return tuple(rank_vms(region, vms)[:MAX_WATCHERS])
 
 
-def teller(vm: Vm, watching: Iterable[Vm]) -> Vm | None:
+def watcher_for(vm: Vm, watchers: Iterable[Vm]) -> Vm | None:
     """Return the watcher that tells ``vm`` of changes."""
-    others = [each for each in watching if each != vm]
-    return ranked(vm, others)[0] if others else None
+    others = [other for other in watchers if other != vm]
+    return rank_vms(vm, others)[0] if others else None
--- a/src/persimmonhitch/catalog/exchange.py
+++ b/src/persimmonhitch/catalog/exchange.py
@@ -9,18 +9,18 @@
 from ..ids import Region, Vm
 from ..observe.logs import log
 from .changes import Change
-from .election import teller, watchers
+from .election import elect_watchers, watcher_for
 from .feed import CatalogFeed
-from .messages import UNASKED, ConfigPull, ConfigPush, ConfigWhole
+from .messages import UNSOLICITED, ConfigPull, ConfigPush, ConfigSnapshot
 from .snapshots import SnapshotPart, join_parts, make_parts
 
 M = TypeVar("M")
 
-FORGET_AFTER: Final = 10.0
+PULL_TIMEOUT_S: Final = 10.0
 """Seconds after which a question counts as lost."""
 MAX_PUSH: Final = 64
 """Changes in one message; one who lacks more asks again at once."""
-NONCES: Final = 2**62
+NONCE_LIMIT: Final = 2**62
 
 
 class Peer(Protocol):
@@ -72,17 +72,17 @@
         self._rng = rng
         self._clock = clock
         self._lock = threading.Lock()
-        self._asked: dict[int, float] = {}
-        self._cut_off: set[Vm] = set()
+        self._pulls: dict[int, float] = {}
+        self._no_store: set[Vm] = set()
         self._parts: dict[str, list[SnapshotPart]] = {}
-        self._watching = True
+        self._store_ok = True
         mesh.on(ConfigPull, self._on_pull)
         mesh.on(ConfigPush, self._on_push)
-        mesh.on(ConfigWhole, self._on_whole)
+        mesh.on(ConfigSnapshot, self._on_snapshot)
 
-    def reached(self, answered: bool) -> None:
+    def set_store_available(self, available: bool) -> None:
         """Note whether the store answered, if this entry is to watch it."""
-        self._watching = answered
+        self._store_ok = available
 
     def watchers(self) -> tuple[Vm, ...]:
         """Return the entries of this region that watch the store.
@@ -90,70 +90,70 @@
         One that says that it can't read the store is passed over, so that the
         next in rank begins; it goes on trying by itself.
         """
-        near = {peer.vm for peer in self._mesh.peers() if peer.region == self._region}
+        vms = {peer.vm for peer in self._mesh.peers() if peer.region == self._region}
         with self._lock:
-            near -= self._cut_off
-        return watchers(self._region, near | {self._vm})
+            vms -= self._no_store
+        return elect_watchers(self._region, vms | {self._vm})
 
-    def ask(self) -> None:
+    def pull(self) -> None:
         """Ask a watcher of this region and any other entry for changes."""
         others = {peer.vm for peer in self._mesh.peers()}
-        near = sorted(others.intersection(self.watchers()))
-        chosen = {self._rng.choice(near)} if near else set()
-        far = sorted(others - chosen)
-        if far:
-            chosen.add(self._rng.choice(far))
-        for vm in sorted(chosen):
-            self._ask(vm)
-
-    def _ask(self, vm: Vm) -> None:
+        regional_watchers = sorted(others.intersection(self.watchers()))
+        targets = {self._rng.choice(regional_watchers)} if regional_watchers else set()
+        remaining = sorted(others - targets)
+        if remaining:
+            targets.add(self._rng.choice(remaining))
+        for vm in sorted(targets):
+            self._pull_from(vm)
+
+    def _pull_from(self, vm: Vm) -> None:
         now = self._clock()
-        nonce = self._rng.randrange(UNASKED + 1, NONCES)
+        nonce = self._rng.randrange(UNSOLICITED + 1, NONCE_LIMIT)
         with self._lock:
-            lost = [n for n, at in self._asked.items() if now - at > FORGET_AFTER]
-            for old in lost:
-                del self._asked[old]
-            self._asked[nonce] = now
+            expired = [n for n, at in self._pulls.items() if now - at > PULL_TIMEOUT_S]
+            for expired_nonce in expired:
+                del self._pulls[expired_nonce]
+            self._pulls[nonce] = now
         self._mesh.send(vm, ConfigPull(self._feed.version, nonce))
 
     def push(self, changes: tuple[Change, ...]) -> None:
         """Send new changes to the peers of this region that rely on this entry."""
-        watching = self.watchers()
-        msg = self._push_of(UNASKED, changes)
+        watchers = self.watchers()
+        msg = self._make_push(UNSOLICITED, changes)
         for peer in self._mesh.peers():
-            near = peer.region == self._region
-            if near and teller(peer.vm, watching) == self._vm:
+            same_region = peer.region == self._region
+            if same_region and watcher_for(peer.vm, watchers) == self._vm:
                 self._mesh.send(peer.vm, msg)
 
-    def _push_of(self, nonce: int, changes: tuple[Change, ...]) -> ConfigPush:
-        steady = self._feed.gate.confirmed(self._clock())
+    def _make_push(self, nonce: int, changes: tuple[Change, ...]) -> ConfigPush:
+        confirmed = self._feed.gate.confirmed(self._clock())
         version = self._feed.version
-        return ConfigPush(version, steady, self._watching, nonce, changes[:MAX_PUSH])
+        return ConfigPush(version, confirmed, self._store_ok, nonce, changes[:MAX_PUSH])
 
     def _on_pull(self, vm: Vm, msg: ConfigPull) -> None:
-        changes = self._feed.after(msg.after)
+        changes = self._feed.changes_after(msg.after_version)
         if changes is not None:
-            self._mesh.send(vm, self._push_of(msg.nonce, changes))
+            self._mesh.send(vm, self._make_push(msg.nonce, changes))
             return
-        log("config_whole_sent", peer_vm=vm, after=msg.after)
-        steady = self._feed.gate.confirmed(self._clock())
+        log("config_whole_sent", peer_vm=vm, after=msg.after_version)
+        confirmed = self._feed.gate.confirmed(self._clock())
         for part in make_parts(self._feed.catalog):
-            self._mesh.send(vm, ConfigWhole(steady, msg.nonce, part))
+            self._mesh.send(vm, ConfigSnapshot(confirmed, msg.nonce, part))
 
     def _on_push(self, vm: Vm, msg: ConfigPush) -> None:
         with self._lock:
-            (self._cut_off.discard if msg.watching else self._cut_off.add)(vm)
-        taken = self._feed.take(msg.changes)
+            (self._no_store.discard if msg.store_ok else self._no_store.add)(vm)
+        applied = self._feed.apply_changes(msg.changes)
         # Also what another watcher pushed: this one may be a watcher as well,
         # and its own watch will find the change taken and not push it any more.
-        if taken:
-            self.push(taken)
+        if applied:
+            self.push(applied)
         if msg.version > self._feed.version:
-            self._ask(vm)
+            self._pull_from(vm)
             return
-        self._answered(msg.nonce, msg.steady)
+        self._confirm(msg.nonce, msg.confirmed)
 
-    def _on_whole(self, vm: Vm, msg: ConfigWhole) -> None:
+    def _on_snapshot(self, vm: Vm, msg: ConfigSnapshot) -> None:
         part = msg.part
         with self._lock:
             parts = self._parts.setdefault(part.digest, [])
@@ -162,11 +162,11 @@
             if catalog is None:
                 return
             self._parts.clear()
-        self._feed.take_whole(catalog)
-        self._answered(msg.nonce, msg.steady)
+        self._feed.apply_snapshot(catalog)
+        self._confirm(msg.nonce, msg.confirmed)
 
-    def _answered(self, nonce: int, steady: bool) -> None:
+    def _confirm(self, nonce: int, confirmed: bool) -> None:
         with self._lock:
-            asked_at = self._asked.pop(nonce, None)
-        if asked_at is not None and steady:
-            self._feed.heard(asked_at)
+            asked_at = self._pulls.pop(nonce, None)
+        if asked_at is not None and confirmed:
+            self._feed.confirm(asked_at)
--- a/src/persimmonhitch/catalog/feed.py
+++ b/src/persimmonhitch/catalog/feed.py
@@ -14,9 +14,9 @@
 from .gate import ThawGate
 from .model import EMPTY, Catalog
 
-HISTORY: Final = 512
+MAX_HISTORY: Final = 512
 """Changes kept for peers that lag: as many as the store keeps at most."""
-LOOK_EVERY: Final = 0.05
+GATE_POLL_INTERVAL_S: Final = 0.05
 """Seconds between two looks of a request that waits for the gate."""
 
 Listener = Callable[[Catalog], None]
@@ -33,7 +33,7 @@
         self._clock = clock
         self._lock = threading.RLock()
         self._catalog = EMPTY
-        self._history: deque[Change] = deque(maxlen=HISTORY)
+        self._history: deque[Change] = deque(maxlen=MAX_HISTORY)
         self._listeners: list[Listener] = []
         self.gate = ThawGate(clock())
         self.ready = threading.Event()
@@ -49,40 +49,40 @@
         """Return the newest version."""
         return self._catalog.version
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Hand each new catalog to ``listener``, in order."""
         self._listeners.append(listener)
 
-    def in_force(self) -> Catalog:
+    def active_catalog(self) -> Catalog:
         """Return the catalog to decide a request by.
 
         Waits after a freeze until a source has confirmed the catalog, for
         ``ISOLATED_AFTER`` seconds at most.
         """
         while not self.gate.open(self._clock()):
-            time.sleep(LOOK_EVERY)
+            time.sleep(GATE_POLL_INTERVAL_S)
         return self._catalog
 
-    def heard(self, asked_at: float) -> None:
+    def confirm(self, asked_at: float) -> None:
         """Note that a source answered a question asked at ``asked_at``."""
-        self.gate.heard(asked_at)
+        self.gate.confirm(asked_at)
         if self.version and self.gate.confirmed(self._clock()):
             self.ready.set()
 
-    def take(self, changes: Iterable[Change]) -> tuple[Change, ...]:
+    def apply_changes(self, changes: Iterable[Change]) -> tuple[Change, ...]:
         """Apply the changes that come next; return those that were new."""
-        taken = []
+        applied = []
         with self._lock:
             for change in changes:
                 result = apply(self._catalog, change)
                 if not isinstance(result, Success):
                     continue
                 self._history.append(change)
-                taken.append(change)
+                applied.append(change)
                 self._advance(result.unwrap())
-        return tuple(taken)
+        return tuple(applied)
 
-    def take_whole(self, catalog: Catalog) -> bool:
+    def apply_snapshot(self, catalog: Catalog) -> bool:
         """Take a catalog from a snapshot; return whether it is newer."""
         with self._lock:
             if catalog.version <= self.version:
@@ -97,11 +97,11 @@
         for listener in self._listeners:
             listener(catalog)
 
-    def after(self, version: ConfigVersion) -> tuple[Change, ...] | None:
+    def changes_after(self, version: ConfigVersion) -> tuple[Change, ...] | None:
         """Return the changes after a version, None if they are not all held."""
         with self._lock:
             if version >= self.version:
                 return ()
             if not self._history or self._history[0].number > version + 1:
                 return None
-            return tuple(each for each in self._history if each.number > version)
+            return tuple(change for change in self._history if change.number > version)
--- a/src/persimmonhitch/catalog/gate.py
+++ b/src/persimmonhitch/catalog/gate.py
@@ -10,11 +10,11 @@
 import threading
 from typing import Final
 
-GAP: Final = 2.0
+FREEZE_GAP_S: Final = 2.0
 """Seconds in which no thread looked at the clock: the process was frozen. Each
 request looks, and two loops do so about every second; a process that starves for
 2 s on a busy machine is taken for frozen too, and only has to ask once more."""
-ISOLATED_AFTER: Final = 5.0
+ISOLATION_TIMEOUT_S: Final = 5.0
 """Seconds after a thaw without any answer, from store or peer, after which the
 last version is in force again. A shorter wait would pass before links that died
 in the freeze are open again (up to 3 s); a longer one would refuse callers who
@@ -26,33 +26,33 @@
 
     def __init__(self, now: float) -> None:
         self._lock = threading.Lock()
-        self._looked = now
-        self._since = now
-        self._asked = -math.inf
+        self._last_active = now
+        self._resumed_at = now
+        self._confirmed_at = -math.inf
 
-    def look(self, now: float) -> None:
+    def record_activity(self, now: float) -> None:
         """Note that this process runs."""
         with self._lock:
-            self._look(now)
+            self._record_activity(now)
 
-    def _look(self, now: float) -> None:
-        if now - self._looked > GAP:
-            self._since = now
-        self._looked = max(self._looked, now)
+    def _record_activity(self, now: float) -> None:
+        if now - self._last_active > FREEZE_GAP_S:
+            self._resumed_at = now
+        self._last_active = max(self._last_active, now)
 
-    def heard(self, asked_at: float) -> None:
+    def confirm(self, asked_at: float) -> None:
         """Note that a steady source answered what was asked at ``asked_at``."""
         with self._lock:
-            self._asked = max(self._asked, asked_at)
+            self._confirmed_at = max(self._confirmed_at, asked_at)
 
     def confirmed(self, now: float) -> bool:
         """Return whether a source has answered since the last gap."""
         with self._lock:
-            self._look(now)
-            return self._asked >= self._since
+            self._record_activity(now)
+            return self._confirmed_at >= self._resumed_at
 
     def open(self, now: float) -> bool:
         """Return whether requests may go on."""
         confirmed = self.confirmed(now)
         with self._lock:
-            return confirmed or now - self._since > ISOLATED_AFTER
+            return confirmed or now - self._resumed_at > ISOLATION_TIMEOUT_S
--- a/src/persimmonhitch/catalog/keys.py
+++ b/src/persimmonhitch/catalog/keys.py
@@ -17,7 +17,7 @@
 PREFIX: Final = "phk_"
 """Lets scanners of repositories and logs recognise a key that leaked."""
 KEY_BYTES: Final = 32
-SHORTEST_PREFIX: Final = 8
+MIN_PREFIX_LENGTH: Final = 8
 """Characters of a hash that must be given to name a key: 1 in 4 thousand million."""
 SCHEME: Final = "bearer"
 
@@ -43,12 +43,12 @@
 
 def find(catalog: Catalog, prefix: str) -> Result[KeyEntry, str]:
     """Return the one key whose hash starts with ``prefix``."""
-    if len(prefix) < SHORTEST_PREFIX:
-        return Err(f"give at least {SHORTEST_PREFIX} characters of the hash")
-    found = [key for key in catalog.keys.values() if key.hash.startswith(prefix)]
-    if len(found) != 1:
-        return Err(f"{len(found)} keys have a hash that starts with {prefix!r}")
-    return Success(found[0])
+    if len(prefix) < MIN_PREFIX_LENGTH:
+        return Err(f"give at least {MIN_PREFIX_LENGTH} characters of the hash")
+    matches = [key for key in catalog.keys.values() if key.hash.startswith(prefix)]
+    if len(matches) != 1:
+        return Err(f"{len(matches)} keys have a hash that starts with {prefix!r}")
+    return Success(matches[0])
 
 
 def withdraw(catalog: Catalog, prefix: str) -> Result[Delta, str]:
@@ -62,7 +62,7 @@
     return Delta(keys=(replace(key, state=KeyState.WITHDRAWN),))
 
 
-def bearer(header: str | None) -> str | None:
+def bearer_key(header: str | None) -> str | None:
     """Return the key in an ``Authorization`` header, or None without one."""
     scheme, _, key = (header or "").strip().partition(" ")
     if scheme.lower() != SCHEME or not key.strip():
--- a/src/persimmonhitch/catalog/lists.py
+++ b/src/persimmonhitch/catalog/lists.py
@@ -22,7 +22,7 @@
     RouteEntry,
     ServiceEntry,
 )
-from .references import Dangling, dangling
+from .references import DanglingRef, find_dangling
 
 NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/-]{0,99}")
 SERVICE_NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
@@ -35,30 +35,30 @@
 Parser = Callable[[str], Any]
 
 
-class Unexpected(ValueError):
+class InvalidValue(ValueError):
     """A value is not what its key demands; the text says what is."""
 
 
-def _number(low: float, above: bool = False) -> Parser:
-    bound = f"more than {low:g}" if above else f"at least {low:g}"
+def _number(minimum: float, exclusive: bool = False) -> Parser:
+    bound = f"more than {minimum:g}" if exclusive else f"at least {minimum:g}"
 
     def parse(text: str) -> float:
         try:
             value = float(text)
         except ValueError:
             value = math.nan
-        fits = value > low if above else value >= low
-        if not fits or math.isinf(value):
-            raise Unexpected(f"expected a number of {bound}, found {text!r}")
+        valid = value > minimum if exclusive else value >= minimum
+        if not valid or math.isinf(value):
+            raise InvalidValue(f"expected a number of {bound}, found {text!r}")
         return value
 
     return parse
 
 
-def _one(pattern: re.Pattern[str]) -> Parser:
+def _name(pattern: re.Pattern[str]) -> Parser:
     def parse(text: str) -> str:
         if not pattern.fullmatch(text):
-            raise Unexpected(f"expected a name, found {text!r}")
+            raise InvalidValue(f"expected a name, found {text!r}")
         return text
 
     return parse
@@ -68,7 +68,7 @@
     parts = tuple(part.strip() for part in text.replace("\n", ",").split(","))
     for part in parts:
         if part and not PATTERN.fullmatch(part):
-            raise Unexpected(f"expected names or patterns, found {part!r}")
+            raise InvalidValue(f"expected names or patterns, found {part!r}")
     return tuple(part for part in parts if part)
 
 
@@ -76,78 +76,78 @@
     try:
         return Priority(text)
     except ValueError:
-        words = " or ".join(each.value for each in Priority)
-        raise Unexpected(f"expected {words}, found {text!r}") from None
+        choices = " or ".join(priority.value for priority in Priority)
+        raise InvalidValue(f"expected {choices}, found {text!r}") from None
 
 
 def _repeatable(text: str) -> bool:
     if text not in ("yes", "no"):
-        raise Unexpected(f"expected yes or no, found {text!r}")
+        raise InvalidValue(f"expected yes or no, found {text!r}")
     return text == "yes"
 
 
 def _text(text: str) -> str:
     if not text or len(text) > 200:
-        raise Unexpected("expected 1 to 200 characters")
+        raise InvalidValue("expected 1 to 200 characters")
     return text
 
 
 @dataclass(frozen=True)
-class Key:
+class KeyRule:
     """One key of a section; without a default it must be given."""
 
     parse: Parser
     default: Any = None
-    needed: bool = True
+    required: bool = True
 
 
 @dataclass(frozen=True)
 class Layout:
     """What a section of one sort holds and how its name is built."""
 
-    words: tuple[re.Pattern[str], ...]
-    keys: dict[str, Key]
+    title: tuple[re.Pattern[str], ...]
+    keys: dict[str, KeyRule]
 
 
-ACCOUNT_LAYOUT: Final = {"account": Layout((NAME,), {"plan": Key(_one(NAME))})}
+ACCOUNT_LAYOUT: Final = {"account": Layout((NAME,), {"plan": KeyRule(_name(NAME))})}
 PLAN_LAYOUT: Final = {
     "plan": Layout(
         (NAME,),
         {
-            "rate": Key(_number(0, above=True)),
-            "burst": Key(_number(1)),
-            "weight": Key(_number(0, above=True), 1.0, needed=False),
-            "priority": Key(_priority, Priority.INTERACTIVE, needed=False),
-            "models": Key(_patterns, (), needed=False),
-            "services": Key(_patterns, (), needed=False),
+            "rate": KeyRule(_number(0, exclusive=True)),
+            "burst": KeyRule(_number(1)),
+            "weight": KeyRule(_number(0, exclusive=True), 1.0, required=False),
+            "priority": KeyRule(_priority, Priority.INTERACTIVE, required=False),
+            "models": KeyRule(_patterns, (), required=False),
+            "services": KeyRule(_patterns, (), required=False),
         },
     ),
     "model": Layout(
         (NAME,),
         {
-            "memory": Key(_number(0, above=True)),
-            "kv_memory": Key(_number(0), 0.0, needed=False),
-            "revision": Key(_text),
-            "base": Key(_one(NAME), None, needed=False),
+            "memory": KeyRule(_number(0, exclusive=True)),
+            "kv_memory": KeyRule(_number(0), 0.0, required=False),
+            "revision": KeyRule(_text),
+            "base": KeyRule(_name(NAME), None, required=False),
         },
     ),
-    "service": Layout((SERVICE_NAME,), {"cost": Key(_number(0))}),
+    "service": Layout((SERVICE_NAME,), {"cost": KeyRule(_number(0))}),
     "route": Layout(
         (SERVICE_NAME, METHOD, re.compile(r"/\S*")),
-        {"repeatable": Key(_repeatable)},
+        {"repeatable": KeyRule(_repeatable)},
     ),
 }
 
 
 @dataclass
 class _Section:
-    sort: str
-    words: list[str]
+    kind: str
+    title: list[str]
     values: dict[str, Any]
 
 
 @dataclass
-class _File:
+class _ListFile:
     """One list while it is read: its sections and the mistakes in it."""
 
     name: str
@@ -155,7 +155,7 @@
     sections: list[_Section] = field(default_factory=list)
     mistakes: list[Mistake] = field(default_factory=list)
 
-    def mistake(self, section: str, key: str, expected: str) -> None:
+    def add_mistake(self, section: str, key: str, expected: str) -> None:
         self.mistakes.append(Mistake(self.name, section, key, expected))
 
     def read(self, text: str) -> None:
@@ -165,101 +165,101 @@
         try:
             ini.read_string(text, source=self.name)
         except configparser.Error as exc:
-            self.mistake("-", "-", " ".join(str(exc).split()))
+            self.add_mistake("-", "-", " ".join(str(exc).split()))
             return
         for name in ini.sections():
             self._read_section(name, dict(ini[name]))
 
-    def _read_section(self, name: str, found: dict[str, str]) -> None:
-        sort, *words = name.split()
-        layout = self.layouts.get(sort)
+    def _read_section(self, name: str, pairs: dict[str, str]) -> None:
+        kind, *names = name.split()
+        layout = self.layouts.get(kind)
         if layout is None:
             known = ", ".join(self.layouts)
-            self.mistake(name, "-", f"unknown section; expected one of: {known}")
+            self.add_mistake(name, "-", f"unknown section; expected one of: {known}")
             return
-        if not self._named_well(layout, words):
-            self.mistake(name, "-", _title(sort))
-        for key in found.keys() - layout.keys.keys():
+        if not self._title_valid(layout, names):
+            self.add_mistake(name, "-", _expected_title(kind))
+        for key in pairs.keys() - layout.keys.keys():
             known = ", ".join(layout.keys)
-            self.mistake(name, key, f"unknown key; expected one of: {known}")
-        values = {key: self._value(name, key, layout, found) for key in layout.keys}
-        self.sections.append(_Section(sort, words, values))
+            self.add_mistake(name, key, f"unknown key; expected one of: {known}")
+        values = {key: self._value(name, key, layout, pairs) for key in layout.keys}
+        self.sections.append(_Section(kind, names, values))
 
-    def _named_well(self, layout: Layout, words: list[str]) -> bool:
-        if len(words) != len(layout.words):
+    def _title_valid(self, layout: Layout, names: list[str]) -> bool:
+        if len(names) != len(layout.title):
             return False
-        pairs = zip(layout.words, words, strict=True)
-        return all(pattern.fullmatch(word) for pattern, word in pairs)
+        pairs = zip(layout.title, names, strict=True)
+        return all(pattern.fullmatch(name) for pattern, name in pairs)
 
-    def _value(self, name: str, key: str, layout: Layout, found: dict[str, str]) -> Any:
+    def _value(self, name: str, key: str, layout: Layout, pairs: dict[str, str]) -> Any:
         rule = layout.keys[key]
-        if key not in found:
-            if rule.needed:
-                self.mistake(name, key, "missing, must be given")
+        if key not in pairs:
+            if rule.required:
+                self.add_mistake(name, key, "missing, must be given")
             return rule.default
         try:
-            return rule.parse(found[key].strip())
-        except Unexpected as exc:
-            self.mistake(name, key, str(exc))
+            return rule.parse(pairs[key].strip())
+        except InvalidValue as exc:
+            self.add_mistake(name, key, str(exc))
             return rule.default
 
-    def of(self, sort: str) -> Iterator[_Section]:
+    def of_kind(self, kind: str) -> Iterator[_Section]:
         """Yield the sections of one sort in their order."""
-        return (section for section in self.sections if section.sort == sort)
+        return (section for section in self.sections if section.kind == kind)
 
 
-def _title(sort: str) -> str:
-    if sort == "route":
+def _expected_title(kind: str) -> str:
+    if kind == "route":
         return "expected a title [route SERVICE METHOD /PATH]"
-    return f"expected a title [{sort} NAME]"
+    return f"expected a title [{kind} NAME]"
 
 
-def _routes(plans: _File) -> dict[str, tuple[RouteEntry, ...]]:
-    services = {section.words[0] for section in plans.of("service")}
+def _routes(plans: _ListFile) -> dict[str, tuple[RouteEntry, ...]]:
+    services = {section.title[0] for section in plans.of_kind("service")}
     routes: dict[str, tuple[RouteEntry, ...]] = {}
-    for section in plans.of("route"):
-        service, method, path = section.words
+    for section in plans.of_kind("route"):
+        service, method, path = section.title
         if service not in services:
             title = f"route {service} {method} {path}"
-            plans.mistake(title, "-", f"no service named {service!r}")
+            plans.add_mistake(title, "-", f"no service named {service!r}")
         route = RouteEntry(method, path, section.values["repeatable"])
         routes[service] = (*routes.get(service, ()), route)
     return routes
 
 
-def _build(accounts: _File, plans: _File) -> Catalog:
+def _build(accounts: _ListFile, plans: _ListFile) -> Catalog:
     routes = _routes(plans)
     return Catalog(
         accounts={
-            Account(section.words[0]): AccountEntry(
-                Account(section.words[0]), section.values["plan"]
+            Account(section.title[0]): AccountEntry(
+                Account(section.title[0]), section.values["plan"]
             )
-            for section in accounts.of("account")
+            for section in accounts.of_kind("account")
         },
         plans={
-            Plan(section.words[0]): PlanEntry(Plan(section.words[0]), **section.values)
-            for section in plans.of("plan")
+            Plan(section.title[0]): PlanEntry(Plan(section.title[0]), **section.values)
+            for section in plans.of_kind("plan")
         },
         models={
-            Model(section.words[0]): ModelEntry(
-                Model(section.words[0]), **section.values
+            Model(section.title[0]): ModelEntry(
+                Model(section.title[0]), **section.values
             )
-            for section in plans.of("model")
+            for section in plans.of_kind("model")
         },
         services={
-            Service(section.words[0]): ServiceEntry(
-                Service(section.words[0]),
+            Service(section.title[0]): ServiceEntry(
+                Service(section.title[0]),
                 section.values["cost"],
-                routes.get(section.words[0], ()),
+                routes.get(section.title[0], ()),
             )
-            for section in plans.of("service")
+            for section in plans.of_kind("service")
         },
     )
 
 
-def _located(found: Dangling, accounts: _File, plans: _File) -> Mistake:
-    file = accounts if found.ref.kind is EntryKind.ACCOUNT else plans
-    return Mistake(file.name, str(found.ref), found.key, found.expected)
+def _mistake(ref: DanglingRef, accounts: _ListFile, plans: _ListFile) -> Mistake:
+    file = accounts if ref.ref.kind is EntryKind.ACCOUNT else plans
+    return Mistake(file.name, str(ref.ref), ref.key, ref.expected)
 
 
 def parse_lists(
@@ -282,14 +282,14 @@
     Result
         A catalog without keys at version 0, or every mistake in both files.
     """
-    first = _File(accounts_file, ACCOUNT_LAYOUT)
-    second = _File(plans_file, PLAN_LAYOUT)
-    first.read(accounts)
-    second.read(plans)
+    account_list = _ListFile(accounts_file, ACCOUNT_LAYOUT)
+    plan_list = _ListFile(plans_file, PLAN_LAYOUT)
+    account_list.read(accounts)
+    plan_list.read(plans)
     # A section with a wrong title has no name to build an entry from.
-    if first.mistakes or second.mistakes:
-        return Err((*first.mistakes, *second.mistakes))
-    catalog = _build(first, second)
-    loose = [_located(each, first, second) for each in dangling(catalog)]
-    mistakes = (*first.mistakes, *second.mistakes, *loose)
+    if account_list.mistakes or plan_list.mistakes:
+        return Err((*account_list.mistakes, *plan_list.mistakes))
+    catalog = _build(account_list, plan_list)
+    errors = [_mistake(ref, account_list, plan_list) for ref in find_dangling(catalog)]
+    mistakes = (*account_list.mistakes, *plan_list.mistakes, *errors)
     return Err(mistakes) if mistakes else Success(catalog)
--- a/src/persimmonhitch/catalog/log.py
+++ b/src/persimmonhitch/catalog/log.py
@@ -23,18 +23,18 @@
     StoreFailure,
     Version,
 )
-from .changes import Change, ChangeId, Delta, apply, diff, merged, new_change_id
+from .changes import Change, ChangeId, Delta, apply, apply_delta, diff, new_change_id
 from .model import EMPTY, Catalog
-from .references import dangling
+from .references import find_dangling
 from .snapshots import read_snapshot
 from .spec import from_spec, to_spec
 
-DIGITS: Final = 12
+NUMBER_DIGITS: Final = 12
 """Digits of a change's name: 26,000 changes a day for 100,000 years."""
 NO_CHANGE: Final = ChangeId("")
 COMPACTED: Final = ChangeId("compacted")
-ATTEMPTS: Final = 5
-RETRY_PAUSE: Final = 0.4
+MAX_ATTEMPTS: Final = 5
+RETRY_PAUSE_S: Final = 0.4
 """Seconds; five attempts span the restart of one of the store's servers."""
 MAX_REBASES: Final = 16
 """At 26,000 changes a day a writer loses 16 races in a row only by a fault."""
@@ -49,7 +49,7 @@
     """
 
     catalog: Catalog
-    last: ChangeId
+    last_id: ChangeId
 
 
 class CommitError(Enum):
@@ -75,7 +75,7 @@
 
 def change_name(number: int) -> str:
     """Return the name of the object that holds a change."""
-    return f"{number:0{DIGITS}d}"
+    return f"{number:0{NUMBER_DIGITS}d}"
 
 
 def parse_change(obj: StoredObject) -> Result[Change, str]:
@@ -98,7 +98,7 @@
 
     snapshot: Catalog | None
     changes: tuple[Change, ...]
-    listed: Version
+    list_version: Version
 
 
 def read_tail(store: ObjectStore, version: ConfigVersion) -> Result[Tail, StoreFailure]:
@@ -115,13 +115,13 @@
     if not isinstance(parsed, Success):
         return Err(parsed.failure())
     changes = parsed.unwrap()
-    listed = listing.unwrap().version
+    list_version = listing.unwrap().version
     # Changes up to the version itself follow on it; if none of those is there
     # they were compacted, and a snapshot that is newer has taken their place.
     if version and changes and changes[0].number <= version + 1:
-        return Success(Tail(None, changes, listed))
+        return Success(Tail(None, changes, list_version))
     snapshot = read_snapshot(store)
-    return snapshot.map(lambda found: Tail(found, changes, listed))
+    return snapshot.map(lambda found: Tail(found, changes, list_version))
 
 
 def _parse_all(
@@ -130,33 +130,33 @@
     """Return the changes from ``version`` on, in order."""
     items = sorted(listing.items, key=lambda obj: obj.name)
     parsed = [parse_change(obj) for obj in items if obj.name >= change_name(version)]
-    for each in parsed:
-        if not isinstance(each, Success):
-            return Err(StoreFailure(StoreError.INVALID, each.failure()))
-    return Success(tuple(each.unwrap() for each in parsed))
+    for result in parsed:
+        if not isinstance(result, Success):
+            return Err(StoreFailure(StoreError.INVALID, result.failure()))
+    return Success(tuple(result.unwrap() for result in parsed))
 
 
 def read_head(store: ObjectStore) -> Result[Head, StoreFailure]:
     """Return the newest catalog that the store holds."""
-    return read_tail(store, ConfigVersion(0)).bind(_replayed)
+    return read_tail(store, ConfigVersion(0)).bind(_replay)
 
 
-def _replayed(tail: Tail) -> Result[Head, StoreFailure]:
+def _replay(tail: Tail) -> Result[Head, StoreFailure]:
     catalog = tail.snapshot or EMPTY
-    last = NO_CHANGE
+    last_id = NO_CHANGE
     for change in tail.changes:
         if change.number == catalog.version:
-            last = change.id
+            last_id = change.id
         if change.number <= catalog.version:
             continue
         result = apply(catalog, change)
         if not isinstance(result, Success):
             return Err(StoreFailure(StoreError.INVALID, result.failure()))
-        catalog, last = result.unwrap(), change.id
-    return Success(Head(catalog, last))
+        catalog, last_id = result.unwrap(), change.id
+    return Success(Head(catalog, last_id))
 
 
-class _Written(Enum):
+class _Outcome(Enum):
     """What became of a conditional create."""
 
     OURS = "ours"
@@ -184,12 +184,12 @@
         store: ObjectStore,
         operator: str,
         wall: Callable[[], float] = time.time,
-        pause: Callable[[float], None] = time.sleep,
+        sleep: Callable[[float], None] = time.sleep,
     ) -> None:
         self._store = store
         self._operator = operator
         self._wall = wall
-        self._pause = pause
+        self._sleep = sleep
 
     def commit(self, base: Catalog, delta: Delta) -> Result[Catalog, CommitFailure]:
         """Write a delta that was worked out against ``base``.
@@ -207,28 +207,28 @@
             if not isinstance(read, Success):
                 return _failed(CommitError.UNAVAILABLE, read.failure().detail)
             head = read.unwrap()
-            if _holds(head.catalog, delta):
+            if _contains(head.catalog, delta):
                 return Success(head.catalog)
-            refused = _obstacle(base, head.catalog, delta)
-            if refused:
-                return Err(refused)
-            written = self._append(head, delta)
-            if written is _Written.UNANSWERED:
+            failure = _check_rebase(base, head.catalog, delta)
+            if failure:
+                return Err(failure)
+            outcome = self._append(head, delta)
+            if outcome is _Outcome.UNANSWERED:
                 return _failed(CommitError.UNKNOWN, "the store did not answer")
-            if written is _Written.OURS:
+            if outcome is _Outcome.OURS:
                 version = ConfigVersion(head.catalog.version + 1)
-                return Success(merged(head.catalog, delta, version))
+                return Success(apply_delta(head.catalog, delta, version))
         return _failed(CommitError.CONFLICT, "lost every race against other writers")
 
-    def _append(self, head: Head, delta: Delta) -> _Written:
+    def _append(self, head: Head, delta: Delta) -> _Outcome:
         number = ConfigVersion(head.catalog.version + 1)
         change = Change(number, new_change_id(), self._operator, self._wall(), delta)
-        written = self._create(change)
-        if written is not _Written.OURS:
-            return written
-        return self._follows(change, head.last)
+        outcome = self._create(change)
+        if outcome is not _Outcome.OURS:
+            return outcome
+        return self._verify_append(change, head.last_id)
 
-    def _create(self, change: Change) -> _Written:
+    def _create(self, change: Change) -> _Outcome:
         """Create the object of a change, again while the answer is lost.
 
         A lost answer may stand for a write that took effect, or that takes
@@ -236,23 +236,23 @@
         since one create at most succeeds; the id then tells whose it was.
         """
         name, spec = change_name(change.number), to_spec(change)
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                self._pause(RETRY_PAUSE)
+                self._sleep(RETRY_PAUSE_S)
             result = self._store.create(Kind.CHANGE, name, spec)
             if isinstance(result, Success):
-                return _Written.OURS
+                return _Outcome.OURS
             if result.failure().error is StoreError.EXISTS:
-                owner = self._owner(change.number)
+                owner = self._change_id(change.number)
                 if owner is not None:
-                    return _Written.OURS if owner == change.id else _Written.OTHERS
-        return _Written.UNANSWERED
+                    return _Outcome.OURS if owner == change.id else _Outcome.OTHERS
+        return _Outcome.UNANSWERED
 
-    def _owner(self, number: int) -> ChangeId | None:
+    def _change_id(self, number: int) -> ChangeId | None:
         """Return the id of the change of that number, None if it is not known."""
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                self._pause(RETRY_PAUSE)
+                self._sleep(RETRY_PAUSE_S)
             found = self._store.get(Kind.CHANGE, change_name(number))
             if isinstance(found, Success):
                 return ChangeId(str(found.unwrap().spec.get("id")))
@@ -260,15 +260,15 @@
                 return NO_CHANGE
         return None
 
-    def _predecessor(self, number: int) -> ChangeId | None:
+    def _predecessor_id(self, number: int) -> ChangeId | None:
         if number > 1:
-            return self._owner(number - 1)
+            return self._change_id(number - 1)
         snapshot = read_snapshot(self._store)
         if not isinstance(snapshot, Success):
             return None
         return NO_CHANGE if snapshot.unwrap() is None else COMPACTED
 
-    def _follows(self, change: Change, last: ChangeId) -> _Written:
+    def _verify_append(self, change: Change, expected_id: ChangeId) -> _Outcome:
         """Return whether a created change is part of the log.
 
         A writer that was frozen between its read and its create may find the
@@ -277,33 +277,33 @@
         the predecessor is gone too, since compaction deletes upwards and leaves
         the newest hundreds. Change 1 has none; before it there is no snapshot.
         """
-        before = self._predecessor(change.number)
-        if before is None:
-            return _Written.UNANSWERED
-        if before == last:
-            return _Written.OURS
+        predecessor_id = self._predecessor_id(change.number)
+        if predecessor_id is None:
+            return _Outcome.UNANSWERED
+        if predecessor_id == expected_id:
+            return _Outcome.OURS
         found = self._store.get(Kind.CHANGE, change_name(change.number))
         if isinstance(found, Success) and found.unwrap().spec.get("id") == change.id:
             self._store.delete(found.unwrap())
-        return _Written.OTHERS
+        return _Outcome.OTHERS
 
 
 def _failed(error: CommitError, detail: str) -> Err[CommitFailure]:
     return Err(CommitFailure(error, detail))
 
 
-def _holds(head: Catalog, delta: Delta) -> bool:
-    return not diff(head, merged(head, delta, head.version))
+def _contains(head: Catalog, delta: Delta) -> bool:
+    return not diff(head, apply_delta(head, delta, head.version))
 
 
-def _obstacle(base: Catalog, head: Catalog, delta: Delta) -> CommitFailure | None:
+def _check_rebase(base: Catalog, head: Catalog, delta: Delta) -> CommitFailure | None:
     """Return what keeps a delta made against ``base`` from following ``head``."""
-    mine = delta.touched()
-    both = sorted(str(ref) for ref in mine & diff(base, head).touched())
-    if both:
-        detail = f"changed by another since version {base.version}: {', '.join(both)}"
+    changed = delta.changed_refs()
+    refs = sorted(str(ref) for ref in changed & diff(base, head).changed_refs())
+    if refs:
+        detail = f"changed by another since version {base.version}: {', '.join(refs)}"
         return CommitFailure(CommitError.CONFLICT, detail)
-    loose = dangling(merged(head, delta, head.version))
-    if loose:
-        return CommitFailure(CommitError.INVALID, "; ".join(map(str, loose)))
+    dangling_refs = find_dangling(apply_delta(head, delta, head.version))
+    if dangling_refs:
+        return CommitFailure(CommitError.INVALID, "; ".join(map(str, dangling_refs)))
     return None
--- a/src/persimmonhitch/catalog/messages.py
+++ b/src/persimmonhitch/catalog/messages.py
@@ -8,7 +8,7 @@
 from .changes import Change
 from .snapshots import SnapshotPart
 
-UNASKED: Final = 0
+UNSOLICITED: Final = 0
 """Nonce of a push that answers no question."""
 
 
@@ -21,7 +21,7 @@
     socket's buffer while its reader was frozen would pass for a fresh one.
     """
 
-    after: ConfigVersion
+    after_version: ConfigVersion
     nonce: int
 
 
@@ -35,25 +35,25 @@
     """
 
     version: ConfigVersion
-    steady: bool
-    watching: bool
+    confirmed: bool
+    store_ok: bool
     nonce: int
     changes: tuple[Change, ...]
 
 
 @message(52)
 @dataclass(frozen=True)
-class ConfigWhole:
+class ConfigSnapshot:
     """Part of the whole catalog, for one who is too far behind for changes."""
 
-    steady: bool
+    confirmed: bool
     nonce: int
     part: SnapshotPart
 
 
 @message(53)
 @dataclass(frozen=True)
-class ConfigNote:
+class ConfigNotice:
     """Tell a sidecar, whose report shows an older version, of a newer one."""
 
     version: ConfigVersion
--- a/src/persimmonhitch/catalog/references.py
+++ b/src/persimmonhitch/catalog/references.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True)
-class Dangling:
+class DanglingRef:
     """An entry whose ``key`` names something that does not exist."""
 
     ref: Ref
@@ -20,50 +20,50 @@
         return f"{self.ref}: {self.key}: {self.expected}"
 
 
-def _of_accounts(catalog: Catalog) -> Iterator[Dangling]:
+def _check_accounts(catalog: Catalog) -> Iterator[DanglingRef]:
     for entry in catalog.accounts.values():
         if entry.plan not in catalog.plans:
             ref = Ref(EntryKind.ACCOUNT, entry.name)
-            yield Dangling(ref, "plan", f"no plan named {entry.plan!r}")
+            yield DanglingRef(ref, "plan", f"no plan named {entry.plan!r}")
 
 
-def _of_plans(catalog: Catalog) -> Iterator[Dangling]:
+def _check_plans(catalog: Catalog) -> Iterator[DanglingRef]:
     for entry in catalog.plans.values():
         ref = Ref(EntryKind.PLAN, entry.name)
         for model in entry.models:
             if model not in catalog.models and not matching(catalog.models, model):
-                yield Dangling(ref, "models", f"no model matches {model!r}")
+                yield DanglingRef(ref, "models", f"no model matches {model!r}")
         for service in entry.services:
             found = service in catalog.services
             if not found and not matching(catalog.services, service):
-                yield Dangling(ref, "services", f"no service matches {service!r}")
+                yield DanglingRef(ref, "services", f"no service matches {service!r}")
 
 
-def _of_models(catalog: Catalog) -> Iterator[Dangling]:
+def _check_models(catalog: Catalog) -> Iterator[DanglingRef]:
     for entry in catalog.models.values():
         if entry.base is None:
             continue
         base = catalog.models.get(entry.base)
         ref = Ref(EntryKind.MODEL, entry.name)
         if base is None:
-            yield Dangling(ref, "base", f"no model named {entry.base!r}")
+            yield DanglingRef(ref, "base", f"no model named {entry.base!r}")
         elif base.base is not None:
-            yield Dangling(ref, "base", f"{entry.base!r} is an adapter itself")
+            yield DanglingRef(ref, "base", f"{entry.base!r} is an adapter itself")
 
 
-def _of_keys(catalog: Catalog) -> Iterator[Dangling]:
+def _check_keys(catalog: Catalog) -> Iterator[DanglingRef]:
     for entry in catalog.keys.values():
         active = entry.state is KeyState.ACTIVE
         if active and entry.account not in catalog.accounts:
             ref = Ref(EntryKind.KEY, entry.hash)
-            yield Dangling(ref, "account", f"no account named {entry.account!r}")
+            yield DanglingRef(ref, "account", f"no account named {entry.account!r}")
 
 
-def dangling(catalog: Catalog) -> tuple[Dangling, ...]:
+def find_dangling(catalog: Catalog) -> tuple[DanglingRef, ...]:
     """Return every name in a catalog that leads nowhere."""
     return (
-        *_of_accounts(catalog),
-        *_of_plans(catalog),
-        *_of_models(catalog),
-        *_of_keys(catalog),
+        *_check_accounts(catalog),
+        *_check_plans(catalog),
+        *_check_models(catalog),
+        *_check_keys(catalog),
     )
--- a/src/persimmonhitch/catalog/snapshots.py
+++ b/src/persimmonhitch/catalog/snapshots.py
@@ -18,20 +18,20 @@
     StoreError,
     StoreFailure,
 )
-from .changes import Delta, merged
+from .changes import Delta, apply_delta
 from .model import EMPTY, Catalog
 from .spec import from_spec, to_spec
 
-EVERY: Final = 256
+INTERVAL: Final = 256
 """Changes between two snapshots.
 
 At 26,000 changes a day that is one snapshot in 14 minutes, against a store that
 takes hundreds of writes a second; a newcomer replays 512 changes at most.
 """
-KEPT: Final = 256
+RETAINED: Final = 256
 """Changes before the snapshot that stay, so that a process which lags by a
 minute or two at full size still follows change by change."""
-PART_BYTES: Final = 512 * 1024
+MAX_PART_BYTES: Final = 512 * 1024
 """Of one part: half of the store's limit, so that one entry more fits."""
 
 
@@ -53,22 +53,22 @@
 def _split(catalog: Catalog) -> Iterator[Delta]:
     """Yield the entries in pieces that each fit one part, in a fixed order."""
     fields = ("plans", "accounts", "models", "services", "keys")
-    held: dict[str, list[object]] = defaultdict(list)
+    chunk: dict[str, list[object]] = defaultdict(list)
     size = 0
     for name in fields:
         entries = getattr(catalog, name)
         for key in sorted(entries):
             length = len(json.dumps(to_spec(entries[key])))
-            if size and size + length > PART_BYTES:
-                yield _delta(held)
-                held, size = defaultdict(list), 0
-            held[name].append(entries[key])
+            if size and size + length > MAX_PART_BYTES:
+                yield _to_delta(chunk)
+                chunk, size = defaultdict(list), 0
+            chunk[name].append(entries[key])
             size += length
-    yield _delta(held)
+    yield _to_delta(chunk)
 
 
-def _delta(held: dict[str, list[object]]) -> Delta:
-    return Delta(**{name: tuple(found) for name, found in held.items()})  # type: ignore[arg-type]
+def _to_delta(chunk: dict[str, list[object]]) -> Delta:
+    return Delta(**{name: tuple(entries) for name, entries in chunk.items()})  # type: ignore[arg-type]
 
 
 def make_parts(catalog: Catalog) -> tuple[SnapshotPart, ...]:
@@ -97,12 +97,12 @@
             continue
         catalog = EMPTY
         for part in group.values():
-            catalog = merged(catalog, part.delta, ConfigVersion(version))
+            catalog = apply_delta(catalog, part.delta, ConfigVersion(version))
         return catalog
     return None
 
 
-def _parsed(items: tuple[StoredObject, ...]) -> Result[list[SnapshotPart], str]:
+def _parse_parts(items: tuple[StoredObject, ...]) -> Result[list[SnapshotPart], str]:
     parts = []
     for obj in items:
         result = from_spec(SnapshotPart, obj.spec)
@@ -117,7 +117,7 @@
     listing = store.list_all(Kind.SNAPSHOT)
     if not isinstance(listing, Success):
         return Err(listing.failure())
-    parts = _parsed(listing.unwrap().items)
+    parts = _parse_parts(listing.unwrap().items)
     if not isinstance(parts, Success):
         return Err(StoreFailure(StoreError.INVALID, parts.failure()))
     return Success(join_parts(parts.unwrap()))
@@ -137,8 +137,8 @@
     newest = read_snapshot(store)
     if not isinstance(newest, Success):
         return Err(newest.failure())
-    before = newest.unwrap() or EMPTY
-    due = catalog.version - before.version >= EVERY
+    previous = newest.unwrap() or EMPTY
+    due = catalog.version - previous.version >= INTERVAL
     if due:
         for part in make_parts(catalog):
             created = store.create(Kind.SNAPSHOT, part_name(part), to_spec(part))
@@ -154,7 +154,7 @@
     if not isinstance(newest, Success):
         return Err(newest.failure())
     version = (newest.unwrap() or EMPTY).version
-    changes = _names_below(store, Kind.CHANGE, version - KEPT)
+    changes = _objects_below(store, Kind.CHANGE, version - RETAINED)
     if not isinstance(changes, Success):
         return Err(changes.failure())
     # Upwards, and none before the one below it is gone: a writer concludes from
@@ -162,16 +162,16 @@
     deleted = _delete_each(store, changes.unwrap())
     if not isinstance(deleted, Success):
         return deleted
-    snapshots = _names_below(store, Kind.SNAPSHOT, version)
+    snapshots = _objects_below(store, Kind.SNAPSHOT, version)
     return snapshots.bind(lambda found: _delete_each(store, found))
 
 
 def _number(obj: StoredObject) -> int:
-    head = obj.name.partition("-")[0]
-    return int(head) if head.isdigit() else 0
+    number = obj.name.partition("-")[0]
+    return int(number) if number.isdigit() else 0
 
 
-def _names_below(
+def _objects_below(
     store: ObjectStore, kind: Kind, version: int
 ) -> Result[list[StoredObject], StoreFailure]:
     listing = store.list_all(kind)
--- a/src/persimmonhitch/catalog/spec.py
+++ b/src/persimmonhitch/catalog/spec.py
@@ -13,7 +13,7 @@
 T = TypeVar("T")
 
 
-class BadSpec(ValueError):
+class SpecError(ValueError):
     """An object of the store does not hold what its type demands."""
 
 
@@ -33,49 +33,49 @@
     return get_type_hints(cls)
 
 
-def _record(cls: type, value: Any) -> Any:
+def _parse_dataclass(cls: type, value: Any) -> Any:
     hints = _hints(cls)
     if not isinstance(value, Mapping) or value.keys() != hints.keys():
-        raise BadSpec(f"{cls.__name__} needs the fields {sorted(hints)}")
-    return cls(**{name: _value(hint, value[name]) for name, hint in hints.items()})
+        raise SpecError(f"{cls.__name__} needs the fields {sorted(hints)}")
+    return cls(**{name: _parse(hint, value[name]) for name, hint in hints.items()})
 
 
-def _enum(cls: type[Enum], value: Any) -> Enum:
+def _parse_enum(cls: type[Enum], value: Any) -> Enum:
     try:
         return cls(value)
     except ValueError as exc:
-        raise BadSpec(str(exc)) from exc
+        raise SpecError(str(exc)) from exc
 
 
-def _optional(args: tuple[Any, ...], value: Any) -> Any:
+def _parse_optional(args: tuple[Any, ...], value: Any) -> Any:
     if value is None:
         return None
     (inner,) = (arg for arg in args if arg is not type(None))
-    return _value(inner, value)
+    return _parse(inner, value)
 
 
-def _value(hint: Any, value: Any) -> Any:
+def _parse(hint: Any, value: Any) -> Any:
     hint = getattr(hint, "__supertype__", hint)
     if get_origin(hint) in (Union, types.UnionType):
-        return _optional(get_args(hint), value)
+        return _parse_optional(get_args(hint), value)
     if get_origin(hint) is tuple:
         if not isinstance(value, list):
-            raise BadSpec(f"expected a list, found {type(value).__name__}")
-        return tuple(_value(get_args(hint)[0], item) for item in value)
+            raise SpecError(f"expected a list, found {type(value).__name__}")
+        return tuple(_parse(get_args(hint)[0], item) for item in value)
     if is_dataclass(hint):
-        return _record(hint, value)  # type: ignore[arg-type]
+        return _parse_dataclass(hint, value)  # type: ignore[arg-type]
     if issubclass(hint, Enum):
-        return _enum(hint, value)
+        return _parse_enum(hint, value)
     if hint is float and type(value) is int:
         return float(value)
     if type(value) is not hint:
-        raise BadSpec(f"expected {hint.__name__}, found {type(value).__name__}")
+        raise SpecError(f"expected {hint.__name__}, found {type(value).__name__}")
     return value
 
 
 def from_spec(cls: type[T], value: Any) -> Result[T, str]:
     """Return the dataclass that a JSON object holds, or what is wrong with it."""
     try:
-        return Success(_record(cls, value))
-    except BadSpec as exc:
+        return Success(_parse_dataclass(cls, value))
+    except SpecError as exc:
         return Err(str(exc))
--- a/src/persimmonhitch/catalog/sync.py
+++ b/src/persimmonhitch/catalog/sync.py
@@ -12,9 +12,9 @@
 from .feed import CatalogFeed
 from .store_source import StoreSource
 
-ASK_EVERY: Final = 1.0
+PULL_INTERVAL_S: Final = 1.0
 """Seconds between two questions to peers; a lost push is made good by the next."""
-HURRY: Final = 0.2
+MIN_PULL_INTERVAL_S: Final = 0.2
 """Seconds between two while nobody has confirmed the configuration, and the
 least between any two, however many sidecars hint at a newer version."""
 
@@ -40,7 +40,7 @@
             self.feed,
             self.needed,
             self.exchange.push,
-            self.exchange.reached,
+            self.exchange.set_store_available,
             clock,
         )
         self._wake = threading.Event()
@@ -52,7 +52,7 @@
         """Return the newest version known here."""
         return self.feed.version
 
-    def elected(self) -> bool:
+    def is_watcher(self) -> bool:
         """Return whether this entry watches the store for its region."""
         return self._vm in self.exchange.watchers()
 
@@ -63,7 +63,7 @@
         after its start, and after a freeze.
         """
         confirmed = self.feed.gate.confirmed(self._clock())
-        return not confirmed or not self.feed.ready.is_set() or self.elected()
+        return not confirmed or not self.feed.ready.is_set() or self.is_watcher()
 
     def start(self) -> None:
         """Keep up to date from now on."""
@@ -76,15 +76,15 @@
         self._wake.set()
         self.source.stop()
 
-    def hint(self, version: ConfigVersion) -> None:
+    def pull_if_newer(self, version: ConfigVersion) -> None:
         """Ask at once if a sidecar knows a newer version."""
         if version > self.feed.version:
             self._wake.set()
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            self.exchange.ask()
-            self._stopping.wait(HURRY)
+            self.exchange.pull()
+            self._stopping.wait(MIN_PULL_INTERVAL_S)
             if self.feed.gate.confirmed(self._clock()):
-                self._wake.wait(ASK_EVERY - HURRY)
+                self._wake.wait(PULL_INTERVAL_S - MIN_PULL_INTERVAL_S)
             self._wake.clear()
--- a/src/persimmonhitch/ctl/report.py
+++ b/src/persimmonhitch/ctl/report.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Iterator, Sequence
 
-from ..catalog.changes import Delta, EntryKind, Ref, entry_of
+from ..catalog.changes import Delta, EntryKind, Ref, find_entry
 from ..catalog.model import Catalog, Entry, KeyEntry
 from ..catalog.spec import to_spec
 from ..store.objects import StoredObject
@@ -49,8 +49,8 @@
 def render_delta(old: Catalog, delta: Delta) -> str:
     """Return a delta line by line: + added, ~ changed, - deleted."""
     lines = []
-    for ref, entry in delta.puts():
-        before = entry_of(old, ref)
+    for ref, entry in delta.upserts():
+        before = find_entry(old, ref)
         lines.append(f"{'+' if before is None else '~'} {_name(ref)}")
         if before is not None:
             lines += _fields(before, entry)
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -66,7 +66,7 @@
         self.mesh.on(ShareRevoked, lambda _vm, msg: self.pool.tell_all(msg))
         rng = random.Random()
         self.sync = CatalogSync(store, self.mesh, Vm(cfg.vm), Region(cfg.region), rng)
-        self.sync.feed.listen(self._on_catalog)
+        self.sync.feed.add_listener(self._on_catalog)
         self.pool = SidecarPool(secret, self.hello, self.sync)
         self.sidecars = Watcher(store, Kind.SIDECAR, self.pool.update)
         self.vms = Watcher(store, Kind.VM, self.pool.update_vms)
@@ -95,7 +95,7 @@
         forwarder = Forwarder(router, self.pool.wait_change, self.metrics)
         gateway = Gateway(
             Limits(cfg.default_timeout, cfg.most_timeout),
-            self.sync.feed.in_force,
+            self.sync.feed.active_catalog,
             self.limiter,
             forwarder,
             self.records,
--- a/src/persimmonhitch/entry/sidecar_conn.py
+++ b/src/persimmonhitch/entry/sidecar_conn.py
@@ -8,7 +8,7 @@
 
 from returns.result import Success
 
-from ..catalog.messages import ConfigNote
+from ..catalog.messages import ConfigNotice
 from ..decide.routing import UpstreamLoad
 from ..ids import ConfigVersion, Incarnation, Model, RequestId
 from ..observe.logs import log
@@ -43,7 +43,7 @@
     def version(self) -> ConfigVersion:
         """Return the newest version known here."""
 
-    def hint(self, version: ConfigVersion) -> None:
+    def pull_if_newer(self, version: ConfigVersion) -> None:
         """Say that a sidecar knows a version."""
 
 
@@ -129,8 +129,8 @@
         """
         ours = self._versions.version
         if theirs < ours and self.link is not None:
-            self.link.send(ConfigNote(ours))
-        self._versions.hint(theirs)
+            self.link.send(ConfigNotice(ours))
+        self._versions.pull_if_newer(theirs)
 
     @take.register
     def _(self, msg: LoadReport) -> None:
--- a/src/persimmonhitch/planner/main.py
+++ b/src/persimmonhitch/planner/main.py
@@ -59,7 +59,7 @@
         self._dialer = Dialer(cfg.secret.encode(), self._hello, self._tell)
         self._watcher: Watcher | None = None
         feed = CatalogFeed()
-        feed.listen(lambda catalog: self._tell(CatalogRead(catalog)))
+        feed.add_listener(lambda catalog: self._tell(CatalogRead(catalog)))
         # Those that stand by read nothing; a change costs the holder one event.
         self._source = StoreSource(
             self._store, feed, lambda: self._lease.epoch() is not None
--- a/src/persimmonhitch/sidecar/server.py
+++ b/src/persimmonhitch/sidecar/server.py
@@ -5,8 +5,8 @@
 from functools import singledispatchmethod
 from typing import Any, Final
 
-from ..catalog.messages import ConfigNote
-from ..catalog.staleness import HeardVersions
+from ..catalog.messages import ConfigNotice
+from ..catalog.staleness import ReportedVersions
 from ..ids import ConfigVersion, Incarnation, Model, Upstream, Vm, Zone
 from ..limits.messages import ShareRevoked
 from ..limits.revoked import RevokedShares
@@ -58,7 +58,7 @@
         self._stopping = threading.Event()
         self._copies = copies
         self._planners: dict[Link, HoldingsNews] = {}
-        self._heard = HeardVersions()
+        self._heard = ReportedVersions()
         self._revoked = RevokedShares()
         self._server = LinkServer(cfg.host, cfg.port, cfg.secret.encode(), self._accept)
         self._reporter = threading.Thread(
@@ -150,7 +150,7 @@
         self._copies.order(msg, link)
 
     @take.register
-    def _(self, msg: ConfigNote, link: Link) -> None:
+    def _(self, msg: ConfigNotice, link: Link) -> None:
         self._note_version(msg.version)
 
     @take.register
@@ -176,7 +176,7 @@
 
     def _note_version(self, version: ConfigVersion) -> None:
         with self._lock:
-            self._heard.note(version, time.monotonic())
+            self._heard.record(version, time.monotonic())
 
     @property
     def version(self) -> ConfigVersion:
--- a/src/persimmonhitch/slopes/catalog.py
+++ b/src/persimmonhitch/slopes/catalog.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Final
 
-from ..catalog.changes import Delta, merged
+from ..catalog.changes import Delta, apply_delta
 from ..catalog.model import (
     EMPTY,
     AccountEntry,
@@ -90,7 +90,7 @@
 
 def _with_key(old: Catalog) -> Catalog:
     entry = replace(key(0), state=KeyState.WITHDRAWN)
-    return merged(old, Delta(keys=(entry,)), ConfigVersion(old.version + 1))
+    return apply_delta(old, Delta(keys=(entry,)), ConfigVersion(old.version + 1))
 
 
 SLOPES.register("keys")(Slope("keys", (10, 100, 1000, 5500, 55_000), run_keys))
--- a/tests/catalog_help.py
+++ b/tests/catalog_help.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from persimmonhitch.catalog.changes import Change, Delta, merged
+from persimmonhitch.catalog.changes import Change, Delta, apply_delta
 from persimmonhitch.catalog.lists import parse_lists
 from persimmonhitch.catalog.log import ChangeWriter, change_name, read_head
 from persimmonhitch.catalog.model import ModelEntry
@@ -19,7 +19,7 @@
 
 
 def writer(store, operator="ana"):
-    return ChangeWriter(store, operator, wall=lambda: 0.0, pause=lambda _: None)
+    return ChangeWriter(store, operator, wall=lambda: 0.0, sleep=lambda _: None)
 
 
 def model(name, revision="r1", base=None):
@@ -38,7 +38,7 @@
     """Append ``count`` changes, each a model of its own."""
     catalog = read_head(store).unwrap().catalog
     for number in range(catalog.version + 1, catalog.version + count + 1):
-        each = change(number, put(f"{prefix}{number}"))
-        store.create(Kind.CHANGE, change_name(number), to_spec(each)).unwrap()
-        catalog = merged(catalog, each.delta, number)
+        new_change = change(number, put(f"{prefix}{number}"))
+        store.create(Kind.CHANGE, change_name(number), to_spec(new_change)).unwrap()
+        catalog = apply_delta(catalog, new_change.delta, number)
     return catalog
--- a/tests/fake_mesh.py
+++ b/tests/fake_mesh.py
@@ -114,11 +114,11 @@
             source = entry.sync.source
             if entry.sync.needed():
                 load = entry.after is None
-                entry.after = source.load() if load else source.follow(entry.after)
+                entry.after = source.load() if load else source.watch_once(entry.after)
             else:
                 entry.after = None
-                entry.sync.exchange.reached(True)
-            entry.sync.exchange.ask()
+                entry.sync.exchange.set_store_available(True)
+            entry.sync.exchange.pull()
 
     def versions(self):
         return [entry.feed.version for entry in self.entries.values()]
--- a/tests/test_catalog_feed.py
+++ b/tests/test_catalog_feed.py
@@ -8,25 +8,25 @@
 
 from persimmonhitch.catalog import store_source
 from persimmonhitch.catalog.changes import diff
-from persimmonhitch.catalog.election import WATCHERS, teller, watchers
-from persimmonhitch.catalog.feed import HISTORY, CatalogFeed
-from persimmonhitch.catalog.gate import GAP, ISOLATED_AFTER
+from persimmonhitch.catalog.election import MAX_WATCHERS, elect_watchers, watcher_for
+from persimmonhitch.catalog.feed import MAX_HISTORY, CatalogFeed
+from persimmonhitch.catalog.gate import FREEZE_GAP_S, ISOLATION_TIMEOUT_S
 from persimmonhitch.catalog.keys import authenticate, issue, withdraw
 from persimmonhitch.catalog.log import read_head
 from persimmonhitch.catalog.model import EMPTY
-from persimmonhitch.catalog.snapshots import EVERY
-from persimmonhitch.catalog.staleness import GRACE, HeardVersions
+from persimmonhitch.catalog.snapshots import INTERVAL
+from persimmonhitch.catalog.staleness import GRACE_S, ReportedVersions
 from persimmonhitch.store.objects import Kind
 from persimmonhitch.wire.codec import decode
 
 VMS = [f"vm{number}" for number in range(12)]
-LIMIT = 6
+PROPAGATION_LIMIT = 6
 """Seconds in which a change must be in force everywhere."""
 
 
 @pytest.fixture(autouse=True)
 def short_watches(monkeypatch):
-    monkeypatch.setattr(store_source, "WATCH_SECONDS", 0.0)
+    monkeypatch.setattr(store_source, "WATCH_TIMEOUT_S", 0.0)
 
 
 def started(vms=VMS, changes=3):
@@ -39,8 +39,8 @@
     return fleet
 
 
-def watching(fleet):
-    return [vm for vm, entry in fleet.entries.items() if entry.sync.elected()]
+def watcher_vms(fleet):
+    return [vm for vm, entry in fleet.entries.items() if entry.sync.is_watcher()]
 
 
 def test_a_change_reaches_all_through_few_watchers():
@@ -50,52 +50,52 @@
     fill(fleet.store, 1, "n")
     fleet.step()
     assert fleet.versions() == [4] * len(VMS)
-    assert fleet.store.calls["watch"] == WATCHERS
+    assert fleet.store.calls["watch"] == MAX_WATCHERS
     assert "list" not in fleet.store.calls or fleet.store.calls["list"] < 3
     asked = 2 * 2 * len(VMS)
-    assert fleet.sent - sent <= asked + WATCHERS * len(VMS)
+    assert fleet.sent - sent <= asked + MAX_WATCHERS * len(VMS)
 
 
-def test_a_withdrawn_key_stops_on_an_entry_that_is_cut_from_the_store():
+def test_a_withdrawn_key_is_refused_by_an_entry_without_the_store():
     """An entry loses its way to the store; then a key is withdrawn.
 
     The holder of the key would go on through this entry for as long as the cut
     lasts. Its peers tell it, whether or not it was to watch the store itself.
     """
-    for cut_vm in (watching(started())[0], VMS[5]):
+    for cut_vm in (watcher_vms(started())[0], VMS[5]):
         fleet = started()
         key, delta = issue(lists(), "coop").unwrap()
         base = read_head(fleet.store).unwrap().catalog
-        each = writer(fleet.store)
-        base = each.commit(base, diff(EMPTY, lists())).unwrap()
-        base = each.commit(base, delta).unwrap()
+        ops = writer(fleet.store)
+        base = ops.commit(base, diff(EMPTY, lists())).unwrap()
+        base = ops.commit(base, delta).unwrap()
         fleet.step()
         entry = fleet.entries[cut_vm]
-        assert authenticate(entry.feed.in_force(), key).unwrap() == "coop"
+        assert authenticate(entry.feed.active_catalog(), key).unwrap() == "coop"
         entry.store.offline = True
-        each.commit(base, withdraw(base, delta.keys[0].hash).unwrap()).unwrap()
-        for _ in range(LIMIT - 2):
+        ops.commit(base, withdraw(base, delta.keys[0].hash).unwrap()).unwrap()
+        for _ in range(PROPAGATION_LIMIT - 2):
             fleet.step()
-        failure = authenticate(entry.feed.in_force(), key).failure()
+        failure = authenticate(entry.feed.active_catalog(), key).failure()
         assert failure.http_status == 401
 
 
-def test_the_next_in_rank_watches_when_all_watchers_are_cut_off():
+def test_the_next_in_rank_watches_when_all_watchers_lose_the_store():
     """The three entries that watch the store lose their way to it at once.
 
     All others rely on them, and the region would stay at its version.
     """
     fleet = started()
-    for vm in watching(fleet):
+    for vm in watcher_vms(fleet):
         fleet.entries[vm].store.offline = True
     fleet.step()
     fill(fleet.store, 1, "n")
-    for _ in range(LIMIT - 1):
+    for _ in range(PROPAGATION_LIMIT - 1):
         fleet.step()
     assert fleet.versions() == [4] * len(VMS)
 
 
-def test_a_region_without_the_store_learns_from_another():
+def test_a_region_without_the_store_updates_from_another():
     """One region loses its way to the store, but not to the other regions.
 
     Nobody in it can watch, so all of it would stay at its version.
@@ -104,12 +104,12 @@
     for vm, entry in fleet.entries.items():
         entry.store.offline = vm.startswith("b")
     fill(fleet.store, 1, "n")
-    for _ in range(LIMIT - 1):
+    for _ in range(PROPAGATION_LIMIT - 1):
         fleet.step()
     assert fleet.versions() == [4] * 16
 
 
-def test_regions_that_lose_each_other_go_on_by_the_store():
+def test_partitioned_regions_update_from_the_store():
     """Two regions lose each other for an hour, and both still reach the store."""
     fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
     fleet.regions_partitioned = True
@@ -126,16 +126,16 @@
     """
     fleet = started(VMS[:3])
     for _ in range(3):
-        fill(fleet.store, EVERY, "n")
+        fill(fleet.store, INTERVAL, "n")
         fleet.step()
     assert fleet.store.list_all(Kind.SNAPSHOT).unwrap().items
-    left = fleet.store.list_all(Kind.CHANGE).unwrap().items
-    assert len(left) <= HISTORY
+    changes = fleet.store.list_all(Kind.CHANGE).unwrap().items
+    assert len(changes) <= MAX_HISTORY
     assert fleet.add("new").sync.source.load()
-    assert fleet.versions() == [3 + 3 * EVERY] * 4
+    assert fleet.versions() == [3 + 3 * INTERVAL] * 4
 
 
-def test_a_newcomer_in_an_outage_takes_its_peers_version():
+def test_a_new_entry_in_an_outage_gets_its_peers_version():
     """An entry VM is replaced while the store is down.
 
     It must serve nobody before it has a configuration, and must not wait for
@@ -143,25 +143,25 @@
     """
     fleet = started(VMS[:3])
     fleet.store.faults.down = True
-    alone = fleet.add("new")
+    new_entry = fleet.add("new")
     fleet.partitioned = {"new"}
     fleet.step()
-    assert not alone.feed.ready.is_set() and alone.feed.version == 0
+    assert not new_entry.feed.ready.is_set() and new_entry.feed.version == 0
     fleet.partitioned = set()
     fleet.step()
-    assert alone.feed.ready.is_set() and alone.feed.version == 3
-    assert alone.feed.catalog == fleet.entries["vm0"].feed.catalog
+    assert new_entry.feed.ready.is_set() and new_entry.feed.version == 3
+    assert new_entry.feed.catalog == fleet.entries["vm0"].feed.catalog
 
 
-def test_one_who_is_far_behind_gets_the_whole_catalog_in_an_outage():
-    fleet = started(VMS[:2], HISTORY + EVERY)
+def test_an_entry_far_behind_gets_the_whole_catalog_in_an_outage():
+    fleet = started(VMS[:2], MAX_HISTORY + INTERVAL)
     fleet.store.faults.down = True
     new = fleet.add("new")
     fleet.step()
     assert new.feed.catalog == fleet.entries["vm0"].feed.catalog
 
 
-def test_nothing_changes_in_an_outage_of_any_length():
+def test_a_long_outage_keeps_the_configuration_in_force():
     """The store is down for ten minutes while traffic runs.
 
     An entry that distrusted its old configuration would refuse every caller.
@@ -174,28 +174,28 @@
             assert entry.feed.gate.open(fleet.now) and entry.feed.version == 3
 
 
-def test_no_version_ever_goes_back():
+def test_versions_never_decrease():
     """A peer that lags tells of old changes, or an old snapshot arrives late.
 
     Callers would see a withdrawn key work again.
     """
     feed = CatalogFeed(lambda: 0.0)
     seen = []
-    feed.listen(lambda catalog: seen.append(catalog.version))
+    feed.add_listener(lambda catalog: seen.append(catalog.version))
     changes = [change(number, put(f"m{number}")) for number in range(1, 6)]
-    assert len(feed.take(changes)) == 5
-    assert feed.take([*changes, *changes]) == ()
-    assert feed.take([change(7, put("gap"))]) == ()
-    assert not feed.take_whole(EMPTY)
+    assert len(feed.apply_changes(changes)) == 5
+    assert feed.apply_changes([*changes, *changes]) == ()
+    assert feed.apply_changes([change(7, put("gap"))]) == ()
+    assert not feed.apply_snapshot(EMPTY)
     assert seen == [1, 2, 3, 4, 5] and feed.version == 5
-    assert [each.number for each in feed.after(3)] == [4, 5]
-    assert feed.after(9) == ()
+    assert [each.number for each in feed.changes_after(3)] == [4, 5]
+    assert feed.changes_after(9) == ()
 
 
-def frozen_past_a_withdrawal(fleet, vm):
+def freeze_during_change(fleet, vm):
     """Freeze an entry for 30 s in which the configuration moves on."""
     fleet.frozen[vm] = []
-    fleet.entries[vm].sync.exchange.ask()
+    fleet.entries[vm].sync.exchange.pull()
     for _ in range(10):
         fleet.step(3.0)
     fill(fleet.store, 1, "n")
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("cut", [False, True])
-def test_a_thawed_entry_asks_before_it_lets_anybody_in(cut):
+def test_a_thawed_entry_pulls_before_it_admits_requests(cut):
     """An entry is frozen while a key is withdrawn, and then runs on.
 
     In its sockets lie answers from before the withdrawal, which say that its
@@ -214,7 +214,7 @@
     vm = VMS[4]
     entry = fleet.entries[vm]
     entry.store.offline = cut
-    feed = frozen_past_a_withdrawal(fleet, vm)
+    feed = freeze_during_change(fleet, vm)
     old = fleet.frozen[vm][:2]
     assert all(decode(frame).unwrap().version == 3 for _, frame in old)
     fleet.frozen[vm] = old
@@ -224,7 +224,7 @@
     assert feed.gate.open(fleet.now) and feed.version == 4
 
 
-def test_a_thawed_entry_that_hears_from_nobody_holds_back_for_a_while_only():
+def test_an_isolated_thawed_entry_admits_requests_after_a_timeout():
     """A frozen entry thaws cut off from the store and all peers.
 
     Refusing for ever would cost callers who have done nothing wrong; its
@@ -232,16 +232,16 @@
     """
     fleet = started()
     vm = VMS[4]
-    feed = frozen_past_a_withdrawal(fleet, vm)
+    feed = freeze_during_change(fleet, vm)
     fleet.frozen[vm].clear()
     fleet.partitioned = {vm}
     fleet.entries[vm].store.offline = True
     fleet.thaw(vm)
     assert not feed.gate.open(fleet.now)
-    fleet.step(GAP / 2)
+    fleet.step(FREEZE_GAP_S / 2)
     assert not feed.gate.open(fleet.now)
     for _ in range(4):
-        fleet.step(ISOLATED_AFTER / 3)
+        fleet.step(ISOLATION_TIMEOUT_S / 3)
     assert feed.gate.open(fleet.now) and feed.version == 3
 
 
@@ -263,31 +263,31 @@
     ("heard", "now", "version", "refused"),
     [
         ([], 0.0, 0, False),
-        ([(5, 0.0)], GRACE - 0.1, 4, False),
-        ([(5, 0.0)], GRACE, 4, True),
-        ([(5, 0.0)], GRACE, 5, False),
-        ([(5, 0.0), (6, 3.0)], GRACE, 5, False),
-        ([(5, 0.0), (6, 3.0)], 3.0 + GRACE, 5, True),
+        ([(5, 0.0)], GRACE_S - 0.1, 4, False),
+        ([(5, 0.0)], GRACE_S, 4, True),
+        ([(5, 0.0)], GRACE_S, 5, False),
+        ([(5, 0.0), (6, 3.0)], GRACE_S, 5, False),
+        ([(5, 0.0), (6, 3.0)], 3.0 + GRACE_S, 5, True),
         ([(5, 0.0), (3, 3.0)], 60.0, 5, False),
     ],
 )
-def test_sidecars_refuse_what_lags_too_far(heard, now, version, refused):
-    versions = HeardVersions()
+def test_sidecars_refuse_outdated_versions(heard, now, version, refused):
+    versions = ReportedVersions()
     for number, at in heard:
-        versions.note(number, at)
+        versions.record(number, at)
     failure = versions.refusal(version, now)
     assert (failure is not None) is refused
     if failure:
         assert (failure.verdict.value, failure.retry_after) == ("not_run", 1.0)
 
 
-def test_an_entry_that_goes_moves_only_its_own_place():
-    chosen = watchers("r", VMS)
-    assert len(chosen) == WATCHERS
-    left = watchers("r", [vm for vm in VMS if vm != chosen[0]])
-    assert left[: WATCHERS - 1] == chosen[1:]
-    assert {teller(vm, chosen) for vm in VMS} <= set(chosen)
-    assert teller("a", ["a"]) is None
+def test_removing_a_watcher_keeps_the_other_watchers():
+    elected = elect_watchers("r", VMS)
+    assert len(elected) == MAX_WATCHERS
+    remaining = elect_watchers("r", [vm for vm in VMS if vm != elected[0]])
+    assert remaining[: MAX_WATCHERS - 1] == elected[1:]
+    assert {watcher_for(vm, elected) for vm in VMS} <= set(elected)
+    assert watcher_for("a", ["a"]) is None
 
 
 class Chaos:
@@ -331,24 +331,24 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_versions_only_rise_and_meet_again_whatever_fails(seed):
+def test_versions_increase_and_converge_under_faults(seed):
     """Cuts, freezes and outages come at any moment and together, while operators
     go on making changes. No process may go back or hold what was not accepted,
     and once all is mended every one is at the newest version in a few seconds.
     """
     chaos = Chaos(seed)
-    harm = [chaos.commit] * 3 + [chaos.cut_store, chaos.cut_peers, chaos.freeze]
-    before = chaos.fleet.versions()
+    faults = [chaos.commit] * 3 + [chaos.cut_store, chaos.cut_peers, chaos.freeze]
+    previous = chaos.fleet.versions()
     for _ in range(150):
-        chaos.rng.choice([*harm, chaos.outage])()
+        chaos.rng.choice([*faults, chaos.outage])()
         chaos.fleet.step(chaos.rng.choice([0.5, 1.0, 3.0]))
         for entry in chaos.fleet.entries.values():
             assert entry.feed.catalog == chaos.accepted[entry.feed.version]
-        now = chaos.fleet.versions()
-        assert all(a <= b for a, b in zip(before, now, strict=True))
-        before = now
+        versions = chaos.fleet.versions()
+        assert all(a <= b for a, b in zip(previous, versions, strict=True))
+        previous = versions
     chaos.heal()
-    for _ in range(LIMIT):
+    for _ in range(PROPAGATION_LIMIT):
         chaos.fleet.step()
     newest = max(chaos.accepted)
     assert newest > 10 and chaos.fleet.versions() == [newest] * 6
--- a/tests/test_catalog_log.py
+++ b/tests/test_catalog_log.py
@@ -9,7 +9,7 @@
 from persimmonhitch.catalog.changes import Delta, EntryKind, Ref, apply
 from persimmonhitch.catalog.log import CommitError, change_name, parse_change, read_head
 from persimmonhitch.catalog.model import EMPTY
-from persimmonhitch.catalog.snapshots import EVERY, KEPT, compact, make_parts
+from persimmonhitch.catalog.snapshots import INTERVAL, RETAINED, compact, make_parts
 from persimmonhitch.standin.store_state import StoreState
 from persimmonhitch.store.objects import Kind
 
@@ -17,9 +17,9 @@
 def test_changes_are_replayed_in_order():
     store = StoreState()
     fill(store, 12)
-    gone = Delta(deleted=(Ref(EntryKind.MODEL, "m3"),))
+    deletion = Delta(deleted=(Ref(EntryKind.MODEL, "m3"),))
     head = read_head(store).unwrap().catalog
-    assert writer(store).commit(head, gone).unwrap().version == 13
+    assert writer(store).commit(head, deletion).unwrap().version == 13
     catalog = read_head(store).unwrap().catalog
     assert catalog.version == 13
     assert len(catalog.models) == 11 and "m3" not in catalog.models
@@ -51,15 +51,15 @@
         thread.start()
     for thread in threads:
         thread.join()
-    won = [name for name, result in results.items() if isinstance(result, Success)]
-    lost = ({"a", "b"} - set(won)).pop()
-    assert len(won) == 1
-    assert results[lost].failure().error is CommitError.CONFLICT
-    assert "model m1" in results[lost].failure().detail
-    assert read_head(store).unwrap().catalog.models["m1"].revision == won[0]
+    winners = [name for name, result in results.items() if isinstance(result, Success)]
+    loser = ({"a", "b"} - set(winners)).pop()
+    assert len(winners) == 1
+    assert results[loser].failure().error is CommitError.CONFLICT
+    assert "model m1" in results[loser].failure().detail
+    assert read_head(store).unwrap().catalog.models["m1"].revision == winners[0]
 
 
-def test_changes_to_other_entries_are_built_upon():
+def test_changes_to_other_entries_are_rebased():
     store = StoreState()
     base = fill(store, 1)
     for name in ("x", "y", "x"):
@@ -75,8 +75,8 @@
     """
     store = StoreState()
     base = fill(store, 2)
-    gone = Delta(deleted=(Ref(EntryKind.MODEL, "m1"),))
-    assert isinstance(writer(store).commit(base, gone), Success)
+    deletion = Delta(deleted=(Ref(EntryKind.MODEL, "m1"),))
+    assert isinstance(writer(store).commit(base, deletion), Success)
     adapter = Delta(models=(model("tide", base="m1"),))
     failure = writer(store, "bo").commit(base, adapter).failure()
     assert failure.error is CommitError.INVALID
@@ -96,7 +96,7 @@
     assert read_head(store).unwrap().catalog.version == 2
 
 
-def test_a_lost_answer_is_recognised_though_another_changed_the_same_since():
+def test_a_lost_answer_is_recognised_after_a_conflicting_change():
     """The answer is lost, and another operator's change of the same model comes
     before the second try. Calling that a conflict would say that nothing was
     written, and the log shows both changes.
@@ -141,15 +141,15 @@
 
 def test_snapshots_replace_old_changes_and_nothing_is_lost():
     store = StoreState()
-    catalog = fill(store, EVERY)
+    catalog = fill(store, INTERVAL)
     assert compact(store, catalog).unwrap()
     assert not compact(store, catalog).unwrap()
-    catalog = fill(store, EVERY, "n")
+    catalog = fill(store, INTERVAL, "n")
     assert compact(store, catalog).unwrap()
-    left = [obj.name for obj in store.list_all(Kind.CHANGE).unwrap().items]
-    assert len(left) == KEPT + 1 and change_name(EVERY) in left
+    names = [obj.name for obj in store.list_all(Kind.CHANGE).unwrap().items]
+    assert len(names) == RETAINED + 1 and change_name(INTERVAL) in names
     assert read_head(store).unwrap().catalog == catalog
-    assert writer(store).commit(catalog, put("x")).unwrap().version == 2 * EVERY + 1
+    assert writer(store).commit(catalog, put("x")).unwrap().version == 2 * INTERVAL + 1
 
 
 def test_a_snapshot_with_a_part_missing_is_not_used():
@@ -158,10 +158,10 @@
     A newcomer that took the part for the whole would not know most models.
     """
     store = StoreState()
-    catalog = fill(store, EVERY)
+    catalog = fill(store, INTERVAL)
     assert len(make_parts(catalog)) == 1
     first = make_parts(catalog)[0]
-    spec = {"version": EVERY, "digest": "d", "part": 0, "parts": 2}
+    spec = {"version": INTERVAL, "digest": "d", "part": 0, "parts": 2}
     delta = {name: [] for name in first.delta.__dataclass_fields__}
     store.create(Kind.SNAPSHOT, "0-d-0", {**spec, "delta": delta}).unwrap()
     assert read_head(store).unwrap().catalog == catalog
@@ -169,7 +169,7 @@
 
 def test_a_large_catalog_is_split_below_the_limit_of_a_value():
     models = {f"m{n}": model(f"m{n}", "r" * 150) for n in range(6000)}
-    catalog = EMPTY.__class__(version=EVERY, models=models, plans=lists().plans)
+    catalog = EMPTY.__class__(version=INTERVAL, models=models, plans=lists().plans)
     store = StoreState()
     assert compact(store, catalog).unwrap()
     assert len(store.list_all(Kind.SNAPSHOT).unwrap().items) > 1
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_a_writer_frozen_past_a_compaction_writes_no_ghost(number):
+def test_a_writer_frozen_past_a_compaction_reports_no_lost_change(number):
     """An operator's command is frozen between its read and its write.
 
     Meanwhile its number was taken, compacted and deleted, so that the create
@@ -191,12 +191,12 @@
     def thaw(kind, name, spec):
         if not frozen:
             frozen.append(name)
-            catalog = fill(store, EVERY + KEPT)
+            catalog = fill(store, INTERVAL + RETAINED)
             compact(store, catalog).unwrap()
         return create(kind, name, spec)
 
     store.create = thaw
     catalog = writer(store).commit(base, put("x")).unwrap()
     assert frozen == [change_name(number)]
-    assert catalog.version == number + EVERY + KEPT
+    assert catalog.version == number + INTERVAL + RETAINED
     assert read_head(store).unwrap().catalog == catalog
--- a/tests/test_config_golden.py
+++ b/tests/test_config_golden.py
@@ -12,9 +12,9 @@
 from golden_session import Session
 from relay import Relay
 
-from persimmonhitch.catalog.gate import GAP
+from persimmonhitch.catalog.gate import FREEZE_GAP_S
 
-LIMIT = 6.0
+PROPAGATION_LIMIT_S = 6.0
 """Seconds within which a change is in force everywhere."""
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SLOT = "/v1/services/ledger/slots"
@@ -23,7 +23,7 @@
     FLEET_PLANS.replace("services = ledger", "services = ledger, slow")
     + "[service slow]\ncost = 1\n"
 )
-ONE_AT_ONCE = "8\n[limits]\nconcurrency = 1"
+ONE_REQUEST = "8\n[limits]\nconcurrency = 1"
 """Memory of no meaning here, and the limit of the sidecar."""
 
 
@@ -40,7 +40,7 @@
         running.entry("entry-2", store="relay")
         running.entry("entry-3")
         running.sidecar("s1", "service-1", "service", "ledger")
-        running.sidecar("s2", "service-2", "service", "slow", memory=ONE_AT_ONCE)
+        running.sidecar("s2", "service-2", "service", "slow", memory=ONE_REQUEST)
         running.apply_lists(ACCOUNTS, PLANS)
         running.issue_key("fretes")
         running.record_urls("http", *ENTRIES)
@@ -60,19 +60,19 @@
     return fleet.http.request("GET", fleet.urls[entry] + "/readyz").json()["version"]
 
 
-def book(fleet, entry, account="fretes", path=SLOT):
+def post_slot(fleet, entry, account="fretes", path=SLOT):
     return fleet.request(entry, "POST", path, account)
 
 
-def in_force(fleet, wanted, entries=ENTRIES):
+def wait_version(fleet, target, entries=ENTRIES):
     """Wait until a version is in force; return how long it took."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     for entry in entries:
-        wait_for(lambda e=entry: version(fleet, e) >= wanted, f"{wanted} at {entry}")
-    return time.monotonic() - began
+        wait_for(lambda e=entry: version(fleet, e) >= target, f"{target} at {entry}")
+    return time.monotonic() - started_at
 
 
-def sent(fleet, entry):
+def send_request(fleet, entry):
     """Send a booking that lies in the entry's socket; return its connection."""
     conn = HTTPConnection(fleet.urls[entry].removeprefix("http://"), timeout=30)
     headers = {"Authorization": f"Bearer {fleet.keys['fretes']}"}
@@ -80,19 +80,19 @@
     return conn
 
 
-def active(fleet, entry):
+def active_requests(fleet, entry):
     """Return how many calls of services an entry has under way."""
     text = fleet.http.request("GET", fleet.urls[entry] + "/metrics").data.decode()
     found = re.search(r'^http_server_active_requests.*"service".* (\S+)$', text, re.M)
     return float(found[1]) if found else 0.0
 
 
-def book_and_queue(fleet, pool):
+def run_and_queue(fleet, pool):
     """Let one booking run and another wait behind it; return both."""
-    first = pool.submit(book, fleet, "entry-1", path=SLOW)
+    first = pool.submit(post_slot, fleet, "entry-1", path=SLOW)
     wait_for(lambda: fleet.runs("service-2") == [1], "the first to run")
-    second = pool.submit(book, fleet, "entry-1", path=SLOW)
-    wait_for(lambda: active(fleet, "entry-1") == 2.0, "the second to wait")
+    second = pool.submit(post_slot, fleet, "entry-1", path=SLOW)
+    wait_for(lambda: active_requests(fleet, "entry-1") == 2.0, "the second to wait")
     return first, second
 
 
@@ -102,24 +102,24 @@
     first instant in which the frozen entry runs again.
     """
     session = Session("withdrawn_keys")
-    in_force(fleet, 2)
+    wait_version(fleet, 2)
     for name in ENTRIES:
-        session.add_reply(f"{name} with a good key", book(fleet, name))
+        session.add_reply(f"{name} with a good key", post_slot(fleet, name))
     session.add("entry-2 is cut from the store, then the key is withdrawn")
     fleet.relay.set_cut(True)
     old = fleet.keys["fretes"]
     fleet.withdraw_key("fretes")
-    seconds = in_force(fleet, 3)
-    session.add("in force on all three within 6 s:", seconds < LIMIT)
+    seconds = wait_version(fleet, 3)
+    session.add("in force on all three within 6 s:", seconds < PROPAGATION_LIMIT_S)
     for name in ENTRIES:
-        session.add_reply(f"{name} with the withdrawn key", book(fleet, name))
+        session.add_reply(f"{name} with the withdrawn key", post_slot(fleet, name))
     session.add("a new key is issued; one booking runs, another waits behind it")
     fleet.issue_key("fretes")
-    in_force(fleet, 4)
-    session.add_reply("entry-2 with the new key", book(fleet, "entry-2"))
-    session.add_reply("entry-2 with the old key", book(fleet, "entry-2", old))
+    wait_version(fleet, 4)
+    session.add_reply("entry-2 with the new key", post_slot(fleet, "entry-2"))
+    session.add_reply("entry-2 with the old key", post_slot(fleet, "entry-2", old))
     with ThreadPoolExecutor(2) as pool:
-        first, second = book_and_queue(fleet, pool)
+        first, second = run_and_queue(fleet, pool)
         session.add("the new key is withdrawn")
         fleet.withdraw_key("fretes")
         session.add_reply("the booking that waits", second.result())
@@ -127,13 +127,13 @@
         session.add_reply("the booking that runs", first.result())
     session.add("bookings that ran:", sum(fleet.runs("service-2")))
     fleet.issue_key("fretes")
-    in_force(fleet, 6)
+    wait_version(fleet, 6)
     session.add("entry-3 is frozen, the new key withdrawn, then entry-3 runs again")
     fleet.processes["entry-3"].signal(signal.SIGSTOP)
-    end = time.monotonic() + GAP + 1.0
+    end = time.monotonic() + FREEZE_GAP_S + 1.0
     fleet.withdraw_key("fretes")
-    in_force(fleet, 7, ENTRIES[:2])
-    conns = [sent(fleet, "entry-3") for _ in range(8)]
+    wait_version(fleet, 7, ENTRIES[:2])
+    conns = [send_request(fleet, "entry-3") for _ in range(8)]
     wait_for(lambda: time.monotonic() > end, "a freeze that shows")
     fleet.processes["entry-3"].signal(signal.SIGCONT)
     statuses = {conn.getresponse().status for conn in conns}
@@ -154,11 +154,11 @@
     fleet.set_faults(down=True)
     session.add("the store is down since just after a change")
     newest = max(version(fleet, name) for name in ENTRIES)
-    seconds = in_force(fleet, newest)
-    session.add("one version on all entries within 6 s:", seconds < LIMIT)
+    seconds = wait_version(fleet, newest)
+    session.add("one version on all entries within 6 s:", seconds < PROPAGATION_LIMIT_S)
     for name in ENTRIES:
-        session.add_reply(f"{name} in the outage", book(fleet, name))
-    run = fleet.ctl("ana", "apply", *lists(fleet, "ana", 9000))
+        session.add_reply(f"{name} in the outage", post_slot(fleet, name))
+    run = fleet.ctl("ana", "apply", *write_lists(fleet, "ana", 9000))
     session.add(
         "an operator's change:", run.communicate(timeout=30)[0].partition(":")[0]
     )
@@ -166,27 +166,27 @@
     session.add("entry-4 starts and knows nobody")
     fleet.entry("entry-4")
     fleet.record_urls("http", "entry-4")
-    session.add_reply("entry-4", book(fleet, "entry-4"))
+    session.add_reply("entry-4", post_slot(fleet, "entry-4"))
     session.add("entry-5 starts with entry-1 as its seed")
     link = fleet.processes["entry-1"].ports()["link"]
     fleet.entry("entry-5", seeds=f"127.0.0.1:{link}")
     fleet.record_urls("http", "entry-5")
-    in_force(fleet, newest, ["entry-5"])
+    wait_version(fleet, newest, ["entry-5"])
     fleet.wait_ready("entry-5", 2)
-    session.add_reply("entry-5", book(fleet, "entry-5"))
+    session.add_reply("entry-5", post_slot(fleet, "entry-5"))
     session.add("the store is back, and a key is withdrawn")
     fleet.set_faults()
     fleet.withdraw_key("fretes")
-    every = (*ENTRIES, "entry-4", "entry-5")
-    seconds = in_force(fleet, newest + 1, every)
-    session.add("in force on all five within 6 s:", seconds < LIMIT)
+    all_entries = (*ENTRIES, "entry-4", "entry-5")
+    seconds = wait_version(fleet, newest + 1, all_entries)
+    session.add("in force on all five within 6 s:", seconds < PROPAGATION_LIMIT_S)
     fleet.wait_ready("entry-4", 2)
-    for name in every:
-        session.add_reply(f"{name} with the withdrawn key", book(fleet, name))
+    for name in all_entries:
+        session.add_reply(f"{name} with the withdrawn key", post_slot(fleet, name))
     session.check()
 
 
-def lists(fleet, name, rate):
+def write_lists(fleet, name, rate):
     """Write the two lists with a rate of the first plan; return their paths."""
     accounts, plans = fleet.folder / "accounts.ini", fleet.folder / f"{name}.ini"
     accounts.write_text(ACCOUNTS)
@@ -200,10 +200,10 @@
     Two successes would leave one of them with a rate that is not in force, two
     conflicts both without a way on.
     """
-    for turn in range(3):
-        rates = {name: 7000 + 100 * turn + i for i, name in enumerate(("ana", "bo"))}
+    for race in range(3):
+        rates = {name: 7000 + 100 * race + i for i, name in enumerate(("ana", "bo"))}
         runs = {
-            name: fleet.ctl(name, "apply", *lists(fleet, f"{name}{turn}", rate))
+            name: fleet.ctl(name, "apply", *write_lists(fleet, f"{name}{race}", rate))
             for name, rate in rates.items()
         }
         texts = {name: run.communicate(timeout=30)[0] for name, run in runs.items()}
@@ -231,12 +231,12 @@
     text = run.communicate(timeout=30)[0]
     assert run.returncode == 0, text
     fleet.keys["fretes"] = text.split()[1]
-    assert in_force(fleet, int(text.split()[-1])) < LIMIT
+    assert wait_version(fleet, int(text.split()[-1])) < PROPAGATION_LIMIT_S
     for name in ENTRIES:
-        assert book(fleet, name).status == 200
+        assert post_slot(fleet, name).status == 200
     fleet.withdraw_key("fretes")
-    began = time.monotonic()
+    started_at = time.monotonic()
     for name in ENTRIES:
-        wait_for(lambda n=name: book(fleet, n).status == 401, "the refusal")
-    assert time.monotonic() - began < LIMIT
+        wait_for(lambda n=name: post_slot(fleet, n).status == 401, "the refusal")
+    assert time.monotonic() - started_at < PROPAGATION_LIMIT_S
     fleet.set_faults()
--- a/tests/test_config_lists.py
+++ b/tests/test_config_lists.py
@@ -23,9 +23,9 @@
 
 def test_rendered_lists_are_read_back():
     catalog = lists()
-    again = parse_lists(render_accounts(catalog), render_plans(catalog)).unwrap()
-    assert not diff(catalog, again)
-    assert again == catalog
+    parsed = parse_lists(render_accounts(catalog), render_plans(catalog)).unwrap()
+    assert not diff(catalog, parsed)
+    assert parsed == catalog
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
     ("folder", "models", "adapters", "accounts"),
     [(".", 1, 1, 2), ("cavalcante", 20, 65, 5), ("kringnieuws", 25, 100, 5)],
 )
-def test_examples_are_good_and_of_the_stated_size(folder, models, adapters, accounts):
+def test_examples_are_valid_and_of_the_stated_size(folder, models, adapters, accounts):
     path = LISTS.parent.parent / "examples" / folder
     texts = [(path / name).read_text() for name in ("accounts.ini", "plans.ini")]
     catalog = parse_lists(*texts).unwrap()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -7,26 +7,26 @@
 from returns.result import Failure as Err
 from returns.result import Success
 
-from persimmonhitch.catalog.changes import diff_lists, merged
-from persimmonhitch.catalog.keys import authenticate, bearer, find, issue, withdraw
+from persimmonhitch.catalog.changes import apply_delta, diff_lists
+from persimmonhitch.catalog.keys import authenticate, bearer_key, find, issue, withdraw
 from persimmonhitch.catalog.model import KeyState
 from persimmonhitch.catalog.spec import to_spec
 from persimmonhitch.verdict import Verdict
 
 
-def issued(account="coop"):
+def issue_for(account="coop"):
     key, delta = issue(lists(), account).unwrap()
-    return key, merged(lists(), delta, 1)
+    return key, apply_delta(lists(), delta, 1)
 
 
-def test_a_key_runs_for_its_account_and_is_kept_as_a_hash():
-    key, catalog = issued()
+def test_a_key_authenticates_its_account_and_is_stored_as_a_hash():
+    key, catalog = issue_for()
     assert authenticate(catalog, key) == Success("coop")
     assert key.startswith("phk_") and len(key) > 40
     assert key not in str(to_spec(diff_lists(catalog, lists())))
 
 
-def refused(catalog, key):
+def refusal_message(catalog, key):
     failure = authenticate(catalog, key).failure()
     assert (failure.http_status, failure.verdict) == (401, Verdict.NOT_RUN)
     assert not key or key not in failure.message
@@ -35,14 +35,14 @@
 
 @pytest.mark.parametrize("key", [None, "", "phk_x", "phk_é", "phk_\udc80"])
 def test_other_keys_are_refused(key):
-    assert "key" in refused(issued()[1], key)
+    assert "key" in refusal_message(issue_for()[1], key)
 
 
 def test_a_withdrawn_key_is_refused():
-    key, catalog = issued()
+    key, catalog = issue_for()
     (entry,) = catalog.keys.values()
-    catalog = merged(catalog, withdraw(catalog, entry.hash[:8]).unwrap(), 2)
-    assert refused(catalog, key) == "the key was withdrawn"
+    catalog = apply_delta(catalog, withdraw(catalog, entry.hash[:8]).unwrap(), 2)
+    assert refusal_message(catalog, key) == "the key was withdrawn"
     assert not withdraw(catalog, entry.hash).unwrap()
 
 
@@ -51,18 +51,18 @@
 
     The first customer's key would open the second one's account.
     """
-    key, catalog = issued("agent")
+    key, catalog = issue_for("agent")
     removed = replace(lists(), accounts={"coop": lists().accounts["coop"]})
-    catalog = merged(catalog, diff_lists(catalog, removed), 2)
-    assert refused(catalog, key) == "the key was withdrawn"
-    catalog = merged(catalog, diff_lists(catalog, lists()), 3)
-    assert refused(catalog, key) == "the key was withdrawn"
+    catalog = apply_delta(catalog, diff_lists(catalog, removed), 2)
+    assert refusal_message(catalog, key) == "the key was withdrawn"
+    catalog = apply_delta(catalog, diff_lists(catalog, lists()), 3)
+    assert refusal_message(catalog, key) == "the key was withdrawn"
 
 
 @pytest.mark.parametrize("prefix", ["", "0123456", "z" * 8])
 def test_a_prefix_must_name_one_key(prefix):
-    assert isinstance(find(issued()[1], prefix), Err)
-    assert issued()[1].keys.popitem()[1].state is KeyState.ACTIVE
+    assert isinstance(find(issue_for()[1], prefix), Err)
+    assert issue_for()[1].keys.popitem()[1].state is KeyState.ACTIVE
 
 
 @pytest.mark.parametrize(
@@ -77,4 +77,4 @@
     ],
 )
 def test_bearer(header, key):
-    assert bearer(header) == key
+    assert bearer_key(header) == key
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -43,7 +43,7 @@
 )
 
 SECRET = "s"
-FEED = SimpleNamespace(version=1, hint=lambda _version: None)
+FEED = SimpleNamespace(version=1, pull_if_newer=lambda _version: None)
 HELLO = Hello(PROTOCOL, Role.ENTRY, "vm", "z1", "i", 1)
 
 
