--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -152,7 +152,7 @@
     def _build_outgoing(
         self,
         admitted: Admitted,
-        instance: Upstream,
+        upstream: Upstream,
         time_left: float,
         last_event_id: str | None,
     ) -> OutgoingRequest:
@@ -164,7 +164,7 @@
             req.method,
             req.target,
             wire.upstream_headers(
-                req.headers, instance, account, rank, time_left, last_event_id
+                req.headers, upstream, account, rank, time_left, last_event_id
             ),
             req.body,
             admitted.route.repeatable,
@@ -190,15 +190,15 @@
         """Return the answer if the upstream executed the request, else a failure."""
         assert request.permit is not None
         record = request.permit.record
-        marks = reply.marks
+        parsed = reply.parsed_headers
         request.head_at = self._clock()
-        if marks.instance in (None, record.name) and reply.status != wire.MISDIRECTED:
+        if parsed.instance in (None, record.name) and reply.status != wire.MISDIRECTED:
             self._poison.answered(record, request.sent_at)
-            self._limits.answered(record, marks.limit, request.sent_at)
-        if marks.not_run:
+            self._limits.answered(record, parsed.limit, request.sent_at)
+        if parsed.not_run:
             return Err(self._record_refusal(request, reply))
         request.attempts += 1
-        if reply.status < 300 and not marks.has_signature:
+        if reply.status < 300 and not parsed.has_signature:
             reply.close()
             self._dispatcher.record_failure(record, False)
             reason = "the answer is not the upstream's"
@@ -223,7 +223,7 @@
         assert request.permit is not None
         record, dispatch_request = request.permit.record, request.admitted.request
         misdirected = reply.status == wire.MISDIRECTED
-        other_instance = reply.marks.instance not in (None, record.name)
+        other_instance = reply.parsed_headers.instance not in (None, record.name)
         code = ErrorCode.OVERLOADED
         try:
             reply.read_all()
--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -126,7 +126,7 @@
         self.last_order_at: float | None = None
         self.polled_at: float | None = None
 
-    def busy_for(self) -> float:
+    def busy_s(self) -> float:
         """Return the seconds until the engine can accept an order for a model."""
         now = self._clock()
         engine = self.engine
@@ -233,18 +233,18 @@
     def _mark_adapter_loading(self, model: Model, adapter: Adapter) -> None:
         inventory = self.engine.inventory
         assert inventory is not None
-        incoming = dict(inventory.loading)
-        incoming[model] = incoming.get(model, frozenset()) | {adapter}
-        self.engine.inventory = replace(inventory, loading=incoming)
+        loading = dict(inventory.loading)
+        loading[model] = loading.get(model, frozenset()) | {adapter}
+        self.engine.inventory = replace(inventory, loading=loading)
 
     def _mark_adapter_loaded(self, model: Model, adapter: Adapter) -> None:
         inventory = self.engine.inventory
         if inventory is None or model not in inventory.models:
             return
-        models, incoming = dict(inventory.models), dict(inventory.loading)
+        models, loading = dict(inventory.models), dict(inventory.loading)
         models[model] = models[model] | {adapter}
-        incoming[model] = incoming.get(model, frozenset()) - {adapter}
-        self.engine.inventory = replace(inventory, models=models, loading=incoming)
+        loading[model] = loading.get(model, frozenset()) - {adapter}
+        self.engine.inventory = replace(inventory, models=models, loading=loading)
         self.engine.adapter_used_at[model, adapter] = self._clock()
 
     def _free_adapter_slot(self) -> bool:
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -53,7 +53,7 @@
 
     status: int
     headers: dict[str, str]
-    marks: ReplyHeaders
+    parsed_headers: ReplyHeaders
     _response: BaseHTTPResponse
     _conn: HTTPConnection
     _release_conn: Callable[[], None]
@@ -108,10 +108,10 @@
     def __init__(
         self,
         pool: ConnectionPool,
-        read_marks: Callable[[int, dict[str, str]], ReplyHeaders],
+        parse_headers: Callable[[int, dict[str, str]], ReplyHeaders],
     ) -> None:
         self._pool = pool
-        self._read_marks = read_marks
+        self._parse_headers = parse_headers
 
     def send(
         self, address: Address, req: OutgoingRequest, abort: Abort, timeout_s: float
@@ -157,8 +157,8 @@
         )
         response = conn.getresponse()
         headers = {k.lower(): v for k, v in response.headers.items()}
-        marks = self._read_marks(response.status, headers)
-        if marks.request_id is not None and marks.request_id != req.request_id:
+        parsed = self._parse_headers(response.status, headers)
+        if parsed.request_id is not None and parsed.request_id != req.request_id:
             # A late answer to another request; this request may still be running.
             raise ValueError("the answer belongs to another request")
         length = headers.get("content-length", "")
@@ -166,10 +166,10 @@
             Reply(
                 response.status,
                 headers,
-                marks,
+                parsed,
                 response,
                 conn,
-                lambda: self._pool.release(address, conn, marks.idle_timeout_s),
+                lambda: self._pool.release(address, conn, parsed.idle_timeout_s),
                 int(length) if length.isdigit() else None,
             )
         )
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -33,12 +33,12 @@
 """Status in logs and metrics of a request whose caller closed the connection early."""
 
 
-def refuse(exc: Failure, request_id: RequestId) -> Answer:
+def refuse(failure: Failure, request_id: RequestId) -> Answer:
     """Return the answer for a failure; ``Retry-After`` may be a fractional number."""
     headers = {}
-    if exc.retry_after is not None:
-        headers["Retry_After"] = f"{exc.retry_after:.2f}"
-    return json_answer(exc.http_status, error_body(exc, request_id), **headers)
+    if failure.retry_after is not None:
+        headers["Retry_After"] = f"{failure.retry_after:.2f}"
+    return json_answer(failure.http_status, error_body(failure, request_id), **headers)
 
 
 class Gateway:
@@ -97,18 +97,18 @@
             return self._fail(request, failure)
 
     def _deny(
-        self, exc: Failure, caller: CallerHeaders, active: ActiveConfig
+        self, failure: Failure, caller: CallerHeaders, active: ActiveConfig
     ) -> Answer:
         request_id = caller.request_id or new_request_id()
         log(
             "request_refused",
             request=request_id,
-            code=exc.code.value,
-            reason=exc.message,
+            code=failure.code.value,
+            reason=failure.message,
             config=active.cfg.version,
-            retry_after=exc.retry_after,
+            retry_after=failure.retry_after,
         )
-        return refuse(exc, request_id)
+        return refuse(failure, request_id)
 
     def _charge(self, admitted: Admitted) -> Failure | None:
         """Charge a request to its account, or return the rate limit refusal."""
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -498,7 +498,7 @@
         memory_mb=engine.spec.memory_mb,
         adapters_memory_mb=engine.adapters_memory(),
         models=frozenset(inventory.models) if inventory else frozenset(),
-        busy_s=controller.busy_for(),
+        busy_s=controller.busy_s(),
         loading=loading,
         load_overdue=engine.loading is not None and now >= engine.ready_at,
         evicting=engine.evicting,
--- a/src/persimmonhitch/direct/leader_election.py
+++ b/src/persimmonhitch/direct/leader_election.py
@@ -10,7 +10,7 @@
 from ..observe.logs import log
 from ..planner.lease import LeaseKeeper, Predecessor
 from ..store.objects import Version
-from .handover import OrderHistory
+from .order_history import OrderHistory
 from .peer_messages import (
     InventoryUpdate,
     LeaseReleased,
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -130,7 +130,7 @@
             self.mesh.send_frame,
             observe_age=self.metrics.update_age,
         )
-        self.pushes = WatchRelay(self.mesh.send_frame, observe_era=self.eras.observe)
+        self.relay = WatchRelay(self.mesh.send_frame, observe_era=self.eras.observe)
         self.update_delta = UpdateDelta()
         self.peers: frozenset[Vm] = frozenset()
         self.leader_vm: Vm | None = None
@@ -144,7 +144,7 @@
             lambda: len(self.peers) + 1,
             on_change=self._tick_due.set,
         )
-        self.blocked_calls = BlockedRequests(store, self.poison, self.overlay.rank)
+        self.blocked_requests = BlockedRequests(store, self.poison, self.overlay.rank)
         self.connection_pool = ConnectionPool()
         self.crash_checks = CrashChecks(self.poison, self.connection_pool)
         self.dispatcher = Dispatcher(
@@ -157,10 +157,10 @@
             self._on_config,
             self.upstreams,
             self._on_entries,
-            self.blocked_calls.update,
+            self.blocked_requests.update,
         )
-        self.watchers = make_watchers(store, listeners, self.pushes.add_changes)
-        self.pushes.set_watchers(self.watchers)
+        self.watchers = make_watchers(store, listeners, self.relay.add_changes)
+        self.relay.set_watchers(self.watchers)
         self.registration = Registration(store, Kind.ENTRY, cfg.vm)
         self.eras.on_change(self._on_era)
         self._register_handlers()
@@ -197,7 +197,7 @@
 
     def _register_handlers(self) -> None:
         self.mesh.on(BroadcastBatch, self.broadcast.receive)
-        self.mesh.on(StorePush, lambda _vm, msg: self.pushes.receive(msg))
+        self.mesh.on(StorePush, lambda _vm, msg: self.relay.receive(msg))
         self.mesh.on(LoadRequest, self.leader.receive_load_request)
         self.mesh.on(InventoryUpdate, self._on_inventory_update)
         self.mesh.on(StoreProbeReply, self.election.receive_probe_reply)
@@ -376,7 +376,7 @@
         self.mesh.start()
         self.watchdog.start()
         self.crash_checks.start()
-        self.blocked_calls.start()
+        self.blocked_requests.start()
         self.leader.start()
         for server in (self.server, *self.status_servers):
             server.start()
@@ -413,7 +413,7 @@
                 if limit_update is not None:
                     self.broadcast.publish(limit_update, urgent=True)
                 self.broadcast.flush()
-                self.pushes.flush(self._followers())
+                self.relay.flush(self._followers())
             except Exception as exc:
                 log("tick_failed", error=repr(exc))
 
--- a/src/persimmonhitch/direct/quota.py
+++ b/src/persimmonhitch/direct/quota.py
@@ -28,7 +28,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._buckets: dict[Account, PooledBucket] = {}
-        self._received: dict[Vm, float] = {}
+        self._usage_at: dict[Vm, float] = {}
         """Time as of which the newest usage of each peer was reported."""
 
     def update(self, cfg: FleetConfig) -> None:
@@ -51,7 +51,7 @@
         now = self._clock()
         peers = self._peers()
         with self._lock:
-            ages = [now - self._received.get(vm, -PEER_TIMEOUT_S) for vm in peers]
+            ages = [now - self._usage_at.get(vm, -PEER_TIMEOUT_S) for vm in peers]
             unresponsive = sum(age > PEER_TIMEOUT_S for age in ages)
             bucket = self._buckets[account]
             bucket.advance(now, unresponsive, len(peers) + 1)
@@ -64,7 +64,7 @@
         peers = self._peers()
         with self._lock:
             return bool(peers) and all(
-                now - self._received.get(vm, -math.inf) > PEER_TIMEOUT_S for vm in peers
+                now - self._usage_at.get(vm, -math.inf) > PEER_TIMEOUT_S for vm in peers
             )
 
     def refund(self, account: Account, cost: Tokens) -> None:
@@ -87,7 +87,7 @@
         """
         now = self._clock()
         with self._lock:
-            self._received[vm] = now if as_of is None else as_of
+            self._usage_at[vm] = now if as_of is None else as_of
             for account, tokens in tokens_used.items():
                 bucket = self._buckets.get(account)
                 if bucket is not None:
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -61,7 +61,7 @@
         clock: Callable[[], float] = time.monotonic,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self._request = request_grant
+        self._request_grant = request_grant
         self._entry_count = entry_count
         self._clock = clock
         self._on_change = on_change
@@ -133,11 +133,11 @@
             )
 
     def _set_allowance(self, instance: UpstreamInstance, rate: float) -> None:
-        entry = self._allowances.get(instance.name)
-        if entry is None or entry[0] != instance:
+        pair = self._allowances.get(instance.name)
+        if pair is None or pair[0] != instance:
             self._allowances[instance.name] = instance, Allowance(rate)
         else:
-            entry[1].rate = rate
+            pair[1].rate = rate
         if instance in self._grants:
             self._grants[instance].resize(rate)
 
@@ -174,7 +174,7 @@
         if not allowance.can_send(now) and allowance.should_ask(
             now, self._entry_count()
         ):
-            self._request(
+            self._request_grant(
                 LimitRequest(instance.name, instance.started_at_ms, allowance.rate)
             )
         return allowance.can_send(now)
@@ -183,9 +183,9 @@
         """Count a request that is sent."""
         if self._allowances:
             with self._lock:
-                entry = self._allowances.get(upstream)
-                if entry is not None:
-                    entry[1].consume()
+                pair = self._allowances.get(upstream)
+                if pair is not None:
+                    pair[1].consume()
 
     def wait_s(self, upstreams: Iterable[Upstream]) -> float | None:
         """Return the shortest wait in seconds until one of the upstreams is available.
@@ -194,8 +194,8 @@
         """
         now = self._clock()
         with self._lock:
-            entries = (self._allowances.get(name) for name in upstreams)
-            waits = [entry[1].wait_time(now) for entry in entries if entry is not None]
+            pairs = (self._allowances.get(name) for name in upstreams)
+            waits = [pair[1].wait_time(now) for pair in pairs if pair is not None]
         known = [wait for wait in waits if wait is not None]
         return min(known) if known and len(known) == len(waits) else None
 
@@ -240,10 +240,10 @@
     def receive_grant(self, grant: LimitGrant) -> None:
         """Apply the answer of the leader."""
         with self._lock:
-            entry = self._allowances.get(grant.upstream)
-            if entry is None or entry[0].started_at_ms != grant.started_at_ms:
+            pair = self._allowances.get(grant.upstream)
+            if pair is None or pair[0].started_at_ms != grant.started_at_ms:
                 return
-            entry[1].receive_reply(grant.wait_ms / 1000, self._clock())
+            pair[1].receive_reply(grant.wait_ms / 1000, self._clock())
         self._on_change()
 
     # -- updates between entries ---------------------------------------------------
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -23,10 +23,10 @@
 STOPPING = Failure(ErrorCode.SHUTTING_DOWN, "stopping", retry_after=0.0)
 
 
-def record(name="e1", models=(BIG,), slots=2, draining=False, born=1):
+def record(name="e1", models=(BIG,), slots=2, draining=False, started_at=1):
     inventory = EngineInventory(NOT_COUNTED, {model: frozenset() for model in models})
     return UpstreamRecord(
-        Upstream(name), LLM, "10.0.0.1", 80, Z1, slots, draining, born, inventory
+        Upstream(name), LLM, "10.0.0.1", 80, Z1, slots, draining, started_at, inventory
     )
 
 
@@ -86,13 +86,13 @@
 def test_lowest_rank_is_served_first():
     dispatcher = make_dispatcher(record(slots=1))
     first = dispatcher.acquire(request(), abort()).unwrap()
-    late = WaitingRequest(dispatcher, request(rank=2))
+    other = WaitingRequest(dispatcher, request(rank=2))
     urgent = WaitingRequest(dispatcher, request(rank=0))
     first.release()
     permit = urgent.outcome().unwrap()
-    assert late.result is None
+    assert other.result is None
     permit.release()
-    assert isinstance(late.outcome(), Success)
+    assert isinstance(other.outcome(), Success)
 
 
 def test_a_draining_upstream_gets_no_requests():
@@ -162,8 +162,8 @@
     table = UpstreamTable()
     table.update([record("e1")])
     for prompt, unread, seconds in samples:
-        sent = replace(request(), prompt_tokens=prompt)
-        table.record_start(Upstream("e1"), sent)
-        table.record_first_token(Upstream("e1"), sent, seconds, unread)
-        table.record_finish(Upstream("e1"), sent, True)
+        req = replace(request(), prompt_tokens=prompt)
+        table.record_start(Upstream("e1"), req)
+        table.record_first_token(Upstream("e1"), req, seconds, unread)
+        table.record_finish(Upstream("e1"), req, True)
     assert minimum <= table.solo_read_rate(LLM) <= maximum
--- a/tests/test_direct_engine_controller.py
+++ b/tests/test_direct_engine_controller.py
@@ -187,7 +187,7 @@
     controller, _published = controller_of(engine, clock)
     controller.refresh()
     controller.load_model(SMALL, (), 1.7)
-    assert 0.0 < controller.busy_for() <= ADAPTER_WINDOW_S
+    assert 0.0 < controller.busy_s() <= ADAPTER_WINDOW_S
     assert controller.load_adapter(BIG, Adapter("a1"))
     clock.now += ADAPTER_WINDOW_S
-    assert controller.busy_for() == 0.0
+    assert controller.busy_s() == 0.0
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -70,8 +70,8 @@
     )
 
 
-def entry_update(asked, running=()):
-    return EntryUpdate({}, asked, running)
+def entry_update(demand, work=()):
+    return EntryUpdate({}, demand, work)
 
 
 @contextmanager
--- a/tests/test_direct_lease.py
+++ b/tests/test_direct_lease.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from persimmonhitch.direct.handover import OrderHistory
+from persimmonhitch.direct.order_history import OrderHistory
 from persimmonhitch.ids import Incarnation, Upstream, Vm
 from persimmonhitch.planner.lease import LeaseKeeper, Predecessor
 from persimmonhitch.standin.store_state import Faults, StoreState
