--- a/src/persimmonhitch/fleet/call.py
+++ b/src/persimmonhitch/fleet/call.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that requests may share, and its length in tokens."""
+    """Part of a prompt that several requests may share, and its length in tokens."""
 
     name: str
     tokens: int
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -13,7 +13,7 @@
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
     STREAM = "stream"
-    """Answered by a stream of events; runs only once unless the route is resumable."""
+    """Answered by a stream of events; not repeated unless the route is resumable."""
 
 
 @dataclass(frozen=True)
--- a/src/persimmonhitch/fleet/upstream.py
+++ b/src/persimmonhitch/fleet/upstream.py
@@ -7,7 +7,7 @@
 from ..ids import Adapter, Model, Service, Upstream, Zone
 
 NOT_COUNTED: Final = -1
-"""``order_count`` of an inventory from a registration record, which has no count."""
+"""``order_count`` of an inventory from a registration record, which omits the count."""
 
 
 @dataclass(frozen=True)
--- a/src/persimmonhitch/platform/headers.py
+++ b/src/persimmonhitch/platform/headers.py
@@ -46,7 +46,7 @@
 
 
 def parse_caller(headers: Headers) -> CallerHeaders:
-    """Return the parsed headers of a caller's request; ignore malformed ones."""
+    """Return the parsed headers of a caller's request; ignore malformed headers."""
     counts = _parse_token_counts(headers.get(names.TOKEN_COUNTS, ""))
     model, _, adapter = headers.get(names.MODEL, "").partition("/")
     timeout_ms = _parse_number(headers.get(names.DEADLINE))
@@ -76,7 +76,7 @@
 ) -> dict[str, str]:
     """Return the headers of a request to an upstream, without the caller's API key.
 
-    Reserved headers are set by this system alone; those of the caller are dropped.
+    Only this system sets reserved headers; those in the caller's request are dropped.
     """
     # Headers that the Connection header lists apply to one connection only.
     listed = {word.strip() for word in headers.get("connection", "").lower().split(",")}
--- a/src/persimmonhitch/platform/names.py
+++ b/src/persimmonhitch/platform/names.py
@@ -37,7 +37,7 @@
 SERVER_LOAD: Final = "x-persimmonhitch-server-load"
 SERVER_LIMIT: Final = ("server-limit", "x-persimmonhitch-server-limit")
 """Requests per second that an upstream accepts from all entries together. Both names
-are read, since upstreams send such headers with and without the prefix."""
+are read, since upstreams send this header with and without the prefix."""
 RETRY_AFTER: Final = "retry-after"
 KEEP_ALIVE: Final = "keep-alive"
 
--- a/src/persimmonhitch/platform/objects_format.py
+++ b/src/persimmonhitch/platform/objects_format.py
@@ -49,7 +49,7 @@
 ) -> StoredObject:
     """Return the object in a reply that the store sent in the given era."""
     meta = body["metadata"]
-    # A malformed object of another writer must not hide the others of its kind.
+    # A malformed object must not make the other objects of its kind unreadable.
     spec = body.get("specification")
     spec = spec if isinstance(spec, dict) else {}
     version = version_of(era, int(meta.get("revision", 0)))
--- a/src/persimmonhitch/platform/store_client.py
+++ b/src/persimmonhitch/platform/store_client.py
@@ -72,8 +72,8 @@
         self._eras = EraState() if eras is None else eras
         self._base = url.rstrip("/")
         self._timeout = timeout
-        # No retries: a write whose reply was lost may have taken effect, and a blind
-        # retry of this write would then fail with a conflict.
+        # No retries: a write whose reply was lost may have been applied, and a retry of
+        # the write would then fail with a conflict.
         self._http = urllib3.PoolManager(
             retries=False, maxsize=MAX_CONNECTIONS, timeout=timeout
         )
@@ -152,12 +152,12 @@
         body = encode_object(old.name, spec, old.version)
         result = self._request("PUT", path_of(old.kind, old.name), body)
         if isinstance(result, Success) and result.unwrap().era != era_of(old.version):
-            # The restored store assigned the revision again, to other content.
+            # The restored store has reused the revision for other content.
             return _failure(StoreError.CONFLICT, RESTORED_DETAIL)
         return self._decode_reply(old.kind, result)
 
     def _is_before_restore(self, version: Version) -> bool:
-        """Return whether a version is of an older era than the newest observed era."""
+        """Return whether a version belongs to an era before the newest observed era."""
         return era_of(version) < self._eras.current
 
     def delete(self, old: StoredObject) -> Result[None, StoreFailure]:
--- a/src/persimmonhitch/store/era.py
+++ b/src/persimmonhitch/store/era.py
@@ -41,6 +41,7 @@
         self._lock = threading.Lock()
         self._listeners: list[Callable[[Era], None]] = []
         self._has_gap = self._has_era = False
+        """Whether a reply had no readable era, and whether a reply had an era."""
         self.current = Era(0)
 
     def on_change(self, listener: Callable[[Era], None]) -> None:
--- a/src/persimmonhitch/store/objects.py
+++ b/src/persimmonhitch/store/objects.py
@@ -8,7 +8,7 @@
 
 Spec = dict[str, Any]
 Version = NewType("Version", int)
-"""Version of an object or a list; versions order all writes of the store."""
+"""Version of an object or a list; later writes have higher versions."""
 
 
 class Kind(Enum):
@@ -40,7 +40,7 @@
     """The store has no history since the version to watch from; list again."""
     INVALID = "invalid"
     UNAVAILABLE = "unavailable"
-    """No valid reply; a write may have taken effect nevertheless."""
+    """No valid reply; a write may have been applied nevertheless."""
 
 
 @dataclass(frozen=True)
@@ -120,6 +120,6 @@
     ) -> Result[Changes, StoreFailure]:
         """Return the changes after a version; wait up to ``wait`` seconds for any.
 
-        Without changes in that time the result contains no events. Fails with
+        Without changes in this time the result contains no events. The call fails with
         ``EXPIRED`` if the store no longer has the history since the version.
         """
--- a/src/persimmonhitch/store/pushes.py
+++ b/src/persimmonhitch/store/pushes.py
@@ -18,14 +18,14 @@
 from .watcher import PUSH_TTL_S, Watcher
 
 PUSH_INTERVAL_S: Final = 0.4
-"""Interval of empty pushes while nothing changes; changes go with the next flush."""
+"""Interval of empty pushes without changes; changes are pushed by the next flush."""
 LIST_DURATION_S: Final = 1.0
 """Maximum duration of a list call, including its timeout."""
 FAILURE_REPORT_S: Final = 5.0
 """Time for which pushes report the last failed call to the store."""
 MAX_PUSHED_BYTES: Final = 4096
 """Size above which an object is omitted from pushes, and followers list all objects.
-The link of a small VM would otherwise carry the object once per follower."""
+Otherwise a small VM would send a large object once per follower."""
 
 
 @dataclass(frozen=True)
@@ -140,7 +140,7 @@
         since = pending[0][0] if pending else version
         for earlier, later in zip(pending, pending[1:], strict=False):
             if later[0] > earlier[1].version:
-                # The changes in between came from a list call, which has no events.
+                # The changes between both come from a list call, which has no events.
                 since = later[0]
         events = [event for _, changes in pending for event in changes.events]
         failed_s = now - watcher.failed_at
--- a/src/persimmonhitch/store/registration.py
+++ b/src/persimmonhitch/store/registration.py
@@ -37,7 +37,7 @@
         self._thread.start()
 
     def update(self, spec: Spec) -> None:
-        """Write a new content of the record."""
+        """Replace the content of the record."""
         self._desired = spec
         self._changed.set()
 
@@ -78,7 +78,7 @@
         return isinstance(found, Success) and self._replace(found.unwrap(), spec)
 
     def _replace(self, old: StoredObject, spec: Spec) -> bool:
-        # Keep keys set by others, such as an operator's drain.
+        # Retain keys set by other writers, such as an operator's request to drain.
         merged = {**old.spec, **spec}
         if merged == old.spec:
             return True
--- a/src/persimmonhitch/store/watcher.py
+++ b/src/persimmonhitch/store/watcher.py
@@ -1,8 +1,8 @@
 """Watch of one kind of object: list once, then watch until the process stops.
 
-A process may follow the watch of another process, which pushes all changes. It makes no
-calls to the store while pushes are recent: if dozens of entries made their own watches,
-these would be most of the store's load.
+A process may follow the watch of another process, which pushes all changes. While
+pushes are recent, the follower makes no calls to the store: if dozens of entries made
+their own watches, these would be most of the store's load.
 """
 
 import math
@@ -32,7 +32,7 @@
 """Duration of a watch call; the platform counts each as one call."""
 MIN_RETRY_S: Final = 0.2
 MAX_RETRY_S: Final = 5.0
-"""Delay between attempts while the store is unavailable; doubled from min to max."""
+"""Delay between attempts while the store is unavailable; doubled up to the maximum."""
 CONTACT_MARGIN_S: Final = 0.5
 """Time beyond the duration of a watch call without a reply of the store after which the
 process that watches counts as disconnected from the store."""
@@ -40,7 +40,7 @@
 """Time for writers to rewrite objects that a restored store lacks, from the first list
 call on; upstreams need about two seconds."""
 PUSH_TTL_S: Final = 1.6
-"""Time without a push after which this process makes its own watch."""
+"""Time without a push after which a follower starts its own watch."""
 POLL_INTERVAL_S: Final = 0.2
 """Interval at which a follower checks whether pushes still arrive."""
 
@@ -116,7 +116,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Make the thread stop after its current watch call; return immediately."""
+        """Make the thread stop after its current watch call, without waiting for it."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -162,12 +162,12 @@
         self._on_failure()
 
     def request_listing(self) -> None:
-        """List again, after a restore of the store from an older copy."""
+        """List all objects again, after a restore of the store from an older copy."""
         with self._lock:
             self._needs_listing = True
 
     def is_following(self) -> bool:
-        """Return whether recent pushes of another process replace the own watch."""
+        """Return whether pushes of another process replace this process's watch."""
         now = time.monotonic()
         is_fresh = (
             now - self._push_received_at < PUSH_TTL_S
@@ -218,7 +218,7 @@
             self._on_change(self._kind, self.version, Changes(self.version, ()))
 
     def _retain_missing(self, listed: Mapping[str, StoredObject]) -> None:
-        """Retain objects that a restored store lacks for ``REWRITE_DURATION_S``."""
+        """Retain for ``REWRITE_DURATION_S`` the objects that a restored store lacks."""
         objects = self.view.objects
         self._retained = {n: obj for n, obj in objects.items() if n not in listed}
         log(
@@ -260,7 +260,7 @@
             obj = event.object
             current = objects.get(obj.name)
             if current is not None and current.version > obj.version:
-                # A newer version has already arrived by a push, list or watch.
+                # A push, list or watch has already delivered a newer version.
                 continue
             self._retained.pop(obj.name, None)
             if event.type is EventType.DELETED:
--- a/tests/test_decide_direct.py
+++ b/tests/test_decide_direct.py
@@ -57,7 +57,7 @@
 
 
 SAMPLES, MIN_BEST_SHARE = 1000, 0.8
-"""Samples per choice, and the smallest share of them that goes to the best engine."""
+"""Samples per choice, and the smallest share of them that chooses the best engine."""
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
 
 def test_ejected_upstream_returns_with_one_request_at_a_time():
     """An upstream has recovered, and all entries could send it every request at once.
-    Each sends one request, and more only after that one has an answer.
+    Each entry sends one request, and further requests only after its answer.
     """
     health = UpstreamHealth()
     health.unreachable(0.0)
@@ -170,9 +170,9 @@
 
 
 def test_failure_of_all_upstreams_ejects_none():
-    """All engines fail every second request for some seconds. Ejected one after the
-    other, none would be left, and all requests would be refused for longer than the
-    failure lasts; callers saw ten seconds of refusals.
+    """All engines fail every second request for some seconds. If they were ejected one
+    after the other, no engine would be left, and all requests would be refused for
+    longer than the failure lasts; callers saw ten seconds of refusals.
     """
     upstreams = [UpstreamHealth() for _ in range(6)]
     for health in upstreams:
@@ -213,8 +213,8 @@
     ],
 )
 def test_unresponsive_upstream(running, output_at, idle_at, now, unresponsive):
-    """The VM of an engine loses power. No connection is refused, and each request sent
-    there is lost only when its caller gives up, seconds later.
+    """The VM of an engine loses power. No connection is refused, and the loss of a
+    request is only noticed when its caller gives up, seconds later.
     """
     assert is_unresponsive(running, output_at, idle_at, now) is unresponsive
 
@@ -228,9 +228,9 @@
 
 
 def test_load_wait_ends_before_the_caller_disconnects():
-    """A caller disconnects from a stream without events after two seconds, though its
-    deadline is five. Its model is ready after two and a half: the request is refused at
-    once, while the caller can still retry.
+    """A caller disconnects from a stream without events after two seconds, although its
+    deadline is five seconds. If its model is ready only after two and a half seconds,
+    the request is refused while the caller can still retry.
     """
     assert load_wait_deadline(request(event_by=2.0)) == pytest.approx(1.6)
 
@@ -242,9 +242,9 @@
 
 
 def test_refusal_names_the_load_time_only_if_known():
-    """No engine has begun to load a model. If the refusal promised it in half a second,
-    callers would retry only to be refused again, and operators would search for a load
-    that does not exist.
+    """No engine has begun to load a model. If the refusal announced the model in half a
+    second, callers would retry and be refused again, and operators would search for a
+    load that does not exist.
     """
     unknown = refusal(Step.LOAD, request())
     known = refusal(Step.LOAD, request(), 2.0)
@@ -257,8 +257,8 @@
 
 
 def test_loads_stay_within_the_weight_store_rate():
-    """All engines are to load at once, and the weight store would serve each of them
-    several times as slowly.
+    """Loads are due on all engines at once. If they started together, the weight store
+    would serve each load several times as slowly.
     """
     limiter = LoadRateLimiter()
     started = 0
--- a/tests/test_decide_residency.py
+++ b/tests/test_decide_residency.py
@@ -1,4 +1,4 @@
-"""Models that engines load and evict, each decision under its load pattern."""
+"""Choice of the models that engines load and evict, by load pattern."""
 
 import math
 
@@ -39,7 +39,7 @@
 
 def test_missing_model_is_loaded_where_its_weights_are_cached():
     """Callers request a model that is resident nowhere. Its load from the weight store
-    takes four times as long, and the engine accepts no other order meanwhile.
+    takes four times as long, and the engine accepts no other order in this time.
     """
     engines = [engine("e1", "a", "b"), engine("e2", "c", "d", disk=("c", "d", "e"))]
     move = next_move(SPECS, demand_of(a=5000, e=4000, c=0, d=0), engines, True)
@@ -69,9 +69,9 @@
 
 
 def test_overdue_rare_model_is_loaded():
-    """All engines are full of models with more demand than they can serve. A model with
-    rare requests is worth less than any of them, and all of its callers were refused
-    for three quarters of a minute.
+    """The demand for the resident models exceeds the capacity of all engines. A model
+    with rare requests has a lower value than any resident model, and all of its callers
+    were refused for three quarters of a minute.
     """
     engines = [
         engine("e1", "a", "b", disk=("a", "b", "c")),
@@ -128,8 +128,8 @@
 
 
 def test_models_of_equal_demand_do_not_evict_each_other():
-    """Two models have about the same demand, and one slot is left: they must not evict
-    each other without end.
+    """Two models of about the same demand compete for one slot and must not evict each
+    other repeatedly.
     """
     engines = [engine("e1", "a", "b", disk=("a", "b", "c"))]
     assert next_move(SPECS, demand_of(a=3000, b=3000, c=3500), engines, True) is None
@@ -144,8 +144,8 @@
 
 def test_engine_without_drain_is_preferred():
     """Two engines could load a model. On one of them the model to evict runs streams of
-    seconds, and its unload waits for them; the engine accepts no other order meanwhile,
-    and callers of the new model are refused for as long.
+    several seconds, for which its unload waits. The engine accepts no other order in
+    this time, and callers of the new model are refused.
     """
     running = frozenset({Model("b")})
     disk = ("a", "b", "c")
@@ -191,8 +191,8 @@
 
 
 def test_models_evicted_by_staging_are_restored():
-    """An operator who knows which models are busy placed the model there; otherwise its
-    first callers would wait for a load.
+    """Staging evicts a model that an operator, who knows the busy models, has placed on
+    the engine. If the model were not restored, its first callers would wait for a load.
     """
     initial = {Upstream("e1"): frozenset({Model("a"), Model("b")})}
     engines = [engine("e1", "a", "d", disk=("a", "b", "d"))]
