--- a/src/persimmonhitch/catalog/election.py
+++ b/src/persimmonhitch/catalog/election.py
@@ -1,8 +1,10 @@
-"""Which entries watch the store, worked out alike by all without a word.
+"""Election of the entries that watch the store.
 
-Load pattern: a fleet whose every watch counts as a call. 360 entries that each
-wait at the store would spend more of its calls than all the rest together, so a
-few of each region watch and tell the others.
+Every entry computes the same result from the list of VMs, without messages.
+
+Load pattern: a large fleet on a store that counts each watch as a call. Watches of
+360 entries would use more calls than all other traffic to the store, so a few
+entries of each region watch the store and push the changes to the others.
 """
 
 import hashlib
@@ -12,8 +14,8 @@
 from ..ids import Vm
 
 MAX_WATCHERS: Final = 3
-"""Entries of a region that watch the store: two may fail in the same second, and
-five regions of three ask 15 times a second."""
+"""Watchers of the store per region: two of them may fail in the same second, and
+five regions with three watchers each make 15 calls a second."""
 
 
 def _score(salt: str, vm: Vm) -> bytes:
@@ -21,16 +23,16 @@
 
 
 def rank_vms(salt: str, vms: Iterable[Vm]) -> list[Vm]:
-    """Return VMs by rendezvous hash: one that goes moves only its own place."""
+    """Rank VMs by rendezvous hash; the other VMs keep their order if one is removed."""
     return sorted(vms, key=lambda vm: _score(salt, vm), reverse=True)
 
 
 def elect_watchers(region: str, vms: Iterable[Vm]) -> tuple[Vm, ...]:
-    """Return the VMs of a region that watch the store."""
+    """Return the VMs of a region that are to watch the store."""
     return tuple(rank_vms(region, vms)[:MAX_WATCHERS])
 
 
 def watcher_for(vm: Vm, watchers: Iterable[Vm]) -> Vm | None:
-    """Return the watcher that tells ``vm`` of changes."""
+    """Return the watcher that pushes changes to ``vm``, None if there is none."""
     others = [other for other in watchers if other != vm]
     return rank_vms(vm, others)[0] if others else None
--- a/src/persimmonhitch/catalog/exchange.py
+++ b/src/persimmonhitch/catalog/exchange.py
@@ -1,4 +1,4 @@
-"""Entries tell each other of changes and ask each other for them."""
+"""Exchange of configuration changes between entries, pushed and pulled."""
 
 import random
 import threading
@@ -17,9 +17,9 @@
 M = TypeVar("M")
 
 PULL_TIMEOUT_S: Final = 10.0
-"""Seconds after which a question counts as lost."""
+"""Time after which a pull without an answer counts as lost."""
 MAX_PUSH: Final = 64
-"""Changes in one message; one who lacks more asks again at once."""
+"""Changes per message; a receiver that lacks more of them pulls again at once."""
 NONCE_LIMIT: Final = 2**62
 
 
@@ -28,32 +28,32 @@
 
     @property
     def vm(self) -> Vm:
-        """Its VM."""
+        """VM of the entry."""
 
     @property
     def region(self) -> Region:
-        """Its region."""
+        """Region of the entry."""
 
 
 class Mesh(Protocol):
     """Links to the other entries."""
 
     def peers(self) -> tuple[Peer, ...]:
-        """Return the entries to which a link is open."""
+        """Return the entries to which links are open."""
 
     def send(self, vm: Vm, msg: Any) -> bool:
         """Send a message; False when no link is open."""
 
     def on(self, kind: type[M], handler: Callable[[Vm, M], None]) -> None:
-        """Hand every message of a kind to ``handler``, with its sender."""
+        """Call ``handler`` with the sender and each message of a kind."""
 
 
 class PeerExchange:
-    """Pushes changes to peers, asks peers for changes, answers them.
+    """Pushes changes to peers, pulls changes from peers and answers their pulls.
 
-    Each entry asks two others every second, one watcher of its region and one
-    of all, so the cost to an entry doesn't grow with the fleet. An answer
-    proves that the configuration is the newest that the other one knows.
+    Each entry pulls from two peers every second, one watcher of its region and
+    one peer of the whole fleet, so the cost per entry does not grow with the
+    fleet. An answer proves that the configuration is the newest one of the peer.
     """
 
     def __init__(
@@ -81,14 +81,17 @@
         mesh.on(ConfigSnapshot, self._on_snapshot)
 
     def set_store_available(self, available: bool) -> None:
-        """Note whether the store answered, if this entry is to watch it."""
+        """Record whether the store answers this entry.
+
+        An entry that need not watch the store counts as having access to it.
+        """
         self._store_ok = available
 
     def watchers(self) -> tuple[Vm, ...]:
         """Return the entries of this region that watch the store.
 
-        One that says that it can't read the store is passed over, so that the
-        next in rank begins; it goes on trying by itself.
+        An entry that reports the store as unreachable is excluded, so that the
+        next entry in rank starts to watch; the excluded entry keeps retrying.
         """
         vms = {peer.vm for peer in self._mesh.peers() if peer.region == self._region}
         with self._lock:
@@ -96,7 +99,7 @@
         return elect_watchers(self._region, vms | {self._vm})
 
     def pull(self) -> None:
-        """Ask a watcher of this region and any other entry for changes."""
+        """Pull changes from a watcher of this region and from another random entry."""
         others = {peer.vm for peer in self._mesh.peers()}
         regional_watchers = sorted(others.intersection(self.watchers()))
         targets = {self._rng.choice(regional_watchers)} if regional_watchers else set()
@@ -117,7 +120,7 @@
         self._mesh.send(vm, ConfigPull(self._feed.version, nonce))
 
     def push(self, changes: tuple[Change, ...]) -> None:
-        """Send new changes to the peers of this region that rely on this entry."""
+        """Send new changes to the peers of this region assigned to this entry."""
         watchers = self.watchers()
         msg = self._make_push(UNSOLICITED, changes)
         for peer in self._mesh.peers():
@@ -135,7 +138,7 @@
         if changes is not None:
             self._mesh.send(vm, self._make_push(msg.nonce, changes))
             return
-        log("config_whole_sent", peer_vm=vm, after=msg.after_version)
+        log("config_snapshot_sent", peer_vm=vm, after=msg.after_version)
         confirmed = self._feed.gate.confirmed(self._clock())
         for part in make_parts(self._feed.catalog):
             self._mesh.send(vm, ConfigSnapshot(confirmed, msg.nonce, part))
@@ -144,8 +147,9 @@
         with self._lock:
             (self._no_store.discard if msg.store_ok else self._no_store.add)(vm)
         applied = self._feed.apply_changes(msg.changes)
-        # Also what another watcher pushed: this one may be a watcher as well,
-        # and its own watch will find the change taken and not push it any more.
+        # Changes that another watcher pushed are pushed on too: this entry may be
+        # a watcher as well, and its own watch would then find the change already
+        # applied and not push it to the peers assigned to this entry.
         if applied:
             self.push(applied)
         if msg.version > self._feed.version:
--- a/src/persimmonhitch/catalog/feed.py
+++ b/src/persimmonhitch/catalog/feed.py
@@ -15,18 +15,18 @@
 from .model import EMPTY, Catalog
 
 MAX_HISTORY: Final = 512
-"""Changes kept for peers that lag: as many as the store keeps at most."""
+"""Changes retained for peers that lag, the most that the store retains."""
 GATE_POLL_INTERVAL_S: Final = 0.05
-"""Seconds between two looks of a request that waits for the gate."""
+"""Time between two checks of the gate by a waiting request."""
 
 Listener = Callable[[Catalog], None]
 
 
 class CatalogFeed:
-    """Holds one catalog that only moves forward.
+    """Current catalog, whose version never decreases.
 
-    It does not matter from whom a change comes, nor how often: the number alone
-    decides, so a peer that lags can't take anything back.
+    A change may arrive from any source and any number of times. Only its number
+    decides whether it applies, so a lagging peer cannot revert a change.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -37,40 +37,40 @@
         self._listeners: list[Listener] = []
         self.gate = ThawGate(clock())
         self.ready = threading.Event()
-        """Set once there is a configuration that a source has confirmed."""
+        """Set once a source has confirmed a configuration."""
 
     @property
     def catalog(self) -> Catalog:
-        """Return the newest catalog at once, whatever its age."""
+        """Return the newest catalog without waiting, whatever its age."""
         return self._catalog
 
     @property
     def version(self) -> ConfigVersion:
-        """Return the newest version."""
+        """Return the version of the newest catalog."""
         return self._catalog.version
 
     def add_listener(self, listener: Listener) -> None:
-        """Hand each new catalog to ``listener``, in order."""
+        """Call ``listener`` with each new catalog, in order of versions."""
         self._listeners.append(listener)
 
     def active_catalog(self) -> Catalog:
-        """Return the catalog to decide a request by.
+        """Return the catalog that applies to a request.
 
-        Waits after a freeze until a source has confirmed the catalog, for
-        ``ISOLATED_AFTER`` seconds at most.
+        After a freeze, wait until a source has confirmed the catalog, for at most
+        ``ISOLATION_TIMEOUT_S`` seconds.
         """
         while not self.gate.open(self._clock()):
             time.sleep(GATE_POLL_INTERVAL_S)
         return self._catalog
 
     def confirm(self, asked_at: float) -> None:
-        """Note that a source answered a question asked at ``asked_at``."""
+        """Record that a source answered a query sent at ``asked_at``."""
         self.gate.confirm(asked_at)
         if self.version and self.gate.confirmed(self._clock()):
             self.ready.set()
 
     def apply_changes(self, changes: Iterable[Change]) -> tuple[Change, ...]:
-        """Apply the changes that come next; return those that were new."""
+        """Apply the changes that follow the current version; return these changes."""
         applied = []
         with self._lock:
             for change in changes:
@@ -83,7 +83,7 @@
         return tuple(applied)
 
     def apply_snapshot(self, catalog: Catalog) -> bool:
-        """Take a catalog from a snapshot; return whether it is newer."""
+        """Replace the catalog by a newer one; return False if it is not newer."""
         with self._lock:
             if catalog.version <= self.version:
                 return False
@@ -98,7 +98,7 @@
             listener(catalog)
 
     def changes_after(self, version: ConfigVersion) -> tuple[Change, ...] | None:
-        """Return the changes after a version, None if they are not all held."""
+        """Return the changes after a version, None if the history lacks any of them."""
         with self._lock:
             if version >= self.version:
                 return ()
--- a/src/persimmonhitch/catalog/gate.py
+++ b/src/persimmonhitch/catalog/gate.py
@@ -1,9 +1,10 @@
-"""Whether a process may trust the configuration that it holds.
+"""Check that the configuration of a process is current after a freeze.
 
-Load pattern: none; this answers a process that was frozen. When it thaws it
-holds a configuration of the past, and would let in keys that were withdrawn
-meanwhile until the first news arrives. The gate sees the gap in its own clock
-and holds requests back until a question asked after the gap is answered.
+Load pattern: none; the gate protects against a process that was frozen. Once
+resumed, the process has an outdated configuration and would accept keys that were
+withdrawn during the freeze, until the first update arrives. The gate detects the
+gap in its record of activity and delays requests until a source has answered a
+query sent after the gap.
 """
 
 import math
@@ -11,18 +12,19 @@
 from typing import Final
 
 FREEZE_GAP_S: Final = 2.0
-"""Seconds in which no thread looked at the clock: the process was frozen. Each
-request looks, and two loops do so about every second; a process that starves for
-2 s on a busy machine is taken for frozen too, and only has to ask once more."""
+"""Time without recorded activity after which the process counts as frozen. Each
+request records activity, and two loops do so about every second. A process that
+gets no CPU time for 2 s on a busy machine counts as frozen too, which costs it
+only one more query."""
 ISOLATION_TIMEOUT_S: Final = 5.0
-"""Seconds after a thaw without any answer, from store or peer, after which the
-last version is in force again. A shorter wait would pass before links that died
-in the freeze are open again (up to 3 s); a longer one would refuse callers who
-have done nothing wrong. From then on sidecars refuse what is too old."""
+"""Time without an answer from the store or a peer after a thaw, after which the
+last known version applies again. A shorter timeout could elapse before links lost
+in the freeze are open again (up to 3 s); a longer one would delay callers without
+need. From then on sidecars refuse requests with an outdated version."""
 
 
 class ThawGate:
-    """Notes looks at the clock and answered questions; has no clock itself."""
+    """Tracks activity and answered queries; callers pass the time."""
 
     def __init__(self, now: float) -> None:
         self._lock = threading.Lock()
@@ -31,7 +33,7 @@
         self._confirmed_at = -math.inf
 
     def record_activity(self, now: float) -> None:
-        """Note that this process runs."""
+        """Record that this process is running."""
         with self._lock:
             self._record_activity(now)
 
@@ -41,18 +43,18 @@
         self._last_active = max(self._last_active, now)
 
     def confirm(self, asked_at: float) -> None:
-        """Note that a steady source answered what was asked at ``asked_at``."""
+        """Record that a confirmed source answered a query sent at ``asked_at``."""
         with self._lock:
             self._confirmed_at = max(self._confirmed_at, asked_at)
 
     def confirmed(self, now: float) -> bool:
-        """Return whether a source has answered since the last gap."""
+        """Return whether a source has answered a query sent after the last freeze."""
         with self._lock:
             self._record_activity(now)
             return self._confirmed_at >= self._resumed_at
 
     def open(self, now: float) -> bool:
-        """Return whether requests may go on."""
+        """Return whether requests may proceed."""
         confirmed = self.confirmed(now)
         with self._lock:
             return confirmed or now - self._resumed_at > ISOLATION_TIMEOUT_S
--- a/src/persimmonhitch/catalog/messages.py
+++ b/src/persimmonhitch/catalog/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entries tell each other of the configuration."""
+"""Messages on the configuration, between entries and from entries to sidecars."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -9,16 +9,16 @@
 from .snapshots import SnapshotPart
 
 UNSOLICITED: Final = 0
-"""Nonce of a push that answers no question."""
+"""Nonce of a push that answers no pull."""
 
 
 @message(50)
 @dataclass(frozen=True)
 class ConfigPull:
-    """Ask for the changes after a version.
+    """Request for the changes after a version.
 
-    ``nonce`` comes back in the answer. Without it an answer that lay in a
-    socket's buffer while its reader was frozen would pass for a fresh one.
+    The answer repeats ``nonce``. Otherwise an answer that waited in a socket
+    buffer while its reader was frozen would count as a fresh answer.
     """
 
     after_version: ConfigVersion
@@ -28,10 +28,11 @@
 @message(51)
 @dataclass(frozen=True)
 class ConfigPush:
-    """Changes in their order, and the sender's version.
+    """Changes in ascending order, and the version of the sender.
 
-    ``steady`` is false while the sender itself has heard from nobody since it
-    was frozen; ``watching`` while it can't read the store that it should watch.
+    ``confirmed`` is false while no source has answered the sender since its last
+    freeze. ``store_ok`` is false while the sender has to watch the store but
+    cannot read it.
     """
 
     version: ConfigVersion
@@ -44,7 +45,7 @@
 @message(52)
 @dataclass(frozen=True)
 class ConfigSnapshot:
-    """Part of the whole catalog, for one who is too far behind for changes."""
+    """Part of the whole catalog, for a peer that lags beyond the retained changes."""
 
     confirmed: bool
     nonce: int
@@ -54,6 +55,6 @@
 @message(53)
 @dataclass(frozen=True)
 class ConfigNotice:
-    """Tell a sidecar, whose report shows an older version, of a newer one."""
+    """Notice of a newer version to a sidecar that reported an older one."""
 
     version: ConfigVersion
--- a/src/persimmonhitch/catalog/staleness.py
+++ b/src/persimmonhitch/catalog/staleness.py
@@ -1,13 +1,13 @@
-"""Refuse entries that lag behind the configuration.
+"""Refusal of requests from entries with an outdated configuration.
 
-Load pattern: none; this answers an entry that is cut off from the store and from
-its peers, or has just thawed, and still sends requests. Without it such an entry
-would go on running the requests of withdrawn keys for as long as the cut lasts.
+Load pattern: none; the check covers an entry that has lost the store and its
+peers, or has just thawed, and still sends requests. Otherwise this entry would
+run the requests of withdrawn keys for as long as the partition lasts.
 
-A sidecar hears of versions from all its entries. A version that it has known
-for ``GRACE`` seconds should be in force everywhere; an entry that still sends an
-older one is refused, truthfully as not run, and its caller's next try comes
-through another entry.
+A sidecar receives versions from all its entries. A version first reported
+``GRACE_S`` seconds ago should be in force everywhere; a request under an older
+version is refused with the verdict "not run", and the caller's next attempt
+reaches another entry.
 """
 
 from collections import deque
@@ -17,15 +17,15 @@
 from ..verdict import ErrorCode, Failure
 
 GRACE_S: Final = 4.0
-"""Seconds. Configuration must be in force everywhere within 6; entries tell a
-sidecar of a version within 2. Shorter would refuse entries that lag for no more
-than a slow store's answer, which callers see as refusals without a cause."""
+"""Time an entry has to catch up. A configuration must be in force everywhere within
+6 s, and entries report a version to a sidecar within 2 s. A shorter period would
+refuse requests of entries that only wait for an answer of a slow store."""
 RETRY_AFTER_S: Final = 1.0
-"""Seconds; another entry answers at once, this one once it has caught up."""
+"""Another entry accepts a retry at once, this one as soon as it is up to date."""
 
 
 class ReportedVersions:
-    """The versions heard of lately, each with the time when it was first heard."""
+    """Versions reported by entries, each with the time of the first report."""
 
     def __init__(self) -> None:
         self._pending: deque[tuple[float, ConfigVersion]] = deque()
@@ -33,19 +33,19 @@
         self._min_version = ConfigVersion(0)
 
     def record(self, version: ConfigVersion, now: float) -> None:
-        """Note that a peer has a version."""
+        """Record that an entry has a version."""
         if version > self.newest:
             self.newest = version
             self._pending.append((now, version))
 
     def min_version(self, now: float) -> ConfigVersion:
-        """Return the oldest version that may still be in force somewhere."""
+        """Return the oldest version that requests may still use."""
         while self._pending and now - self._pending[0][0] >= GRACE_S:
             self._min_version = self._pending.popleft()[1]
         return self._min_version
 
     def refusal(self, version: ConfigVersion, now: float) -> Failure | None:
-        """Return why a request under ``version`` is refused, None if it is not."""
+        """Return the refusal of a request under ``version``, None if it is accepted."""
         if version >= self.min_version(now):
             return None
         reason = "this entry lags behind the configuration"
--- a/src/persimmonhitch/catalog/store_source.py
+++ b/src/persimmonhitch/catalog/store_source.py
@@ -1,4 +1,4 @@
-"""Read changes from the store and follow them by a watch."""
+"""Read configuration changes from the store and watch for new ones."""
 
 import threading
 import time
@@ -24,38 +24,38 @@
 from .snapshots import INTERVAL, compact
 
 WATCH_TIMEOUT_S: Final = 1.0
-"""Of one watch. A watch is an answered question only once it has ended, and a
-cut connection stays silent; longer ones would notice a cut later."""
+"""Duration of one watch. A watch confirms the configuration only once it ends, and
+a cut connection gives no error, so longer watches would detect a cut later."""
 MIN_RETRY_S: Final = 0.5
 MAX_RETRY_S: Final = 3.0
-"""Seconds between tries while the store is away, doubled from first to most. In
-an outage all 360 entries come to try; every 3 s that is 120 calls a second for a
-store that is just coming back."""
+"""Delay between attempts while the store is unavailable; doubles from minimum to
+maximum. In an outage all 360 entries retry; at 3 s this makes 120 calls a second
+when the store becomes available again."""
 IDLE_POLL_S: Final = 0.25
-"""Seconds between two looks of an entry that need not watch."""
+"""Time between two checks whether an idle entry must read the store."""
 
 
 def _ignore(_value: object) -> None:
-    """Take news that concerns no other process."""
+    """Ignore a notification; default of the callbacks."""
 
 
 class StoreSource:
-    """Follows the log while this process is to watch it.
+    """Follows the change log while this process must read the store.
 
     Parameters
     ----------
     store : ObjectStore
         The object API.
     feed : CatalogFeed
-        Takes what is read.
+        Receives the changes read.
     needed : callable
-        Whether this process is to watch now.
+        Returns whether this process must read the store now.
     told : callable
-        Gets the changes that were new here.
+        Receives the changes that were applied.
     reached : callable
-        Gets whether the store answered.
+        Receives whether the store answered.
     clock : callable
-        Monotonic seconds.
+        Monotonic clock in seconds.
     """
 
     def __init__(
@@ -78,11 +78,11 @@
         self._thread = threading.Thread(target=self._run, name="config", daemon=True)
 
     def start(self) -> None:
-        """Follow the log from now on."""
+        """Start to follow the change log."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Follow it no more."""
+        """Stop following the change log."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -102,7 +102,7 @@
                 after = self.watch_once(after)
 
     def load(self) -> Version | None:
-        """Take all that is new; return where a watch goes on, None on failure."""
+        """Apply all new changes; return where a watch starts, None on failure."""
         asked_at = self._clock()
         result = read_tail(self._store, self._feed.version)
         if not isinstance(result, Success):
@@ -116,7 +116,7 @@
         return tail.list_version
 
     def watch_once(self, after: Version) -> Version | None:
-        """Watch once; return where the next watch goes on, None on failure."""
+        """Watch once; return where the next watch starts, None on failure."""
         asked_at = self._clock()
         outcome = self._store.watch(Kind.CHANGE, after, WATCH_TIMEOUT_S)
         if not isinstance(outcome, Success):
@@ -130,12 +130,12 @@
         return changes.version
 
     def _apply_added(self, obj: StoredObject) -> bool:
-        """Take one new change; return whether nothing before it is missing."""
+        """Apply one new change; return False if it is unreadable or leaves a gap."""
         change = parse_change(obj)
         if not isinstance(change, Success):
-            # A newer release wrote what this one can't read. The version stays
-            # where it is; skipping one would let this entry and the others
-            # diverge under one version number.
+            # A newer release wrote a change that this release cannot read. The
+            # version stays; skipping the change would let this entry and the
+            # others have different content under one version number.
             log("change_unreadable", name=obj.name, error=change.failure())
             return False
         parsed: Change = change.unwrap()
@@ -158,7 +158,7 @@
             self._on_available(False)
 
     def _compact(self) -> None:
-        """Write a snapshot when one is due; every watcher may, see ``compact``."""
+        """Write a snapshot if one is due; concurrent watchers may, see ``compact``."""
         if self._feed.version < self._compact_at:
             return
         result = compact(self._store, self._feed.catalog)
--- a/src/persimmonhitch/catalog/sync.py
+++ b/src/persimmonhitch/catalog/sync.py
@@ -1,4 +1,4 @@
-"""All that keeps one entry's configuration up to date."""
+"""Synchronisation of the configuration of one entry with peers and the store."""
 
 import random
 import threading
@@ -13,14 +13,14 @@
 from .store_source import StoreSource
 
 PULL_INTERVAL_S: Final = 1.0
-"""Seconds between two questions to peers; a lost push is made good by the next."""
+"""Time between two pulls from peers; the next pull makes up for a lost push."""
 MIN_PULL_INTERVAL_S: Final = 0.2
-"""Seconds between two while nobody has confirmed the configuration, and the
-least between any two, however many sidecars hint at a newer version."""
+"""Time between two pulls while no source has confirmed the configuration; also the
+minimum when many sidecars report a newer version."""
 
 
 class CatalogSync:
-    """Feed, peers and store of one entry, with the threads that drive them."""
+    """Catalog feed, peer exchange and store source of one entry, with their threads."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
 
     @property
     def version(self) -> ConfigVersion:
-        """Return the newest version known here."""
+        """Return the version of the newest catalog of this entry."""
         return self.feed.version
 
     def is_watcher(self) -> bool:
@@ -57,27 +57,27 @@
         return self._vm in self.exchange.watchers()
 
     def needed(self) -> bool:
-        """Return whether this entry is to read the store.
+        """Return whether this entry must read the store.
 
-        Besides a watcher it is one whose configuration nobody has confirmed:
-        after its start, and after a freeze.
+        Watchers read the store, and so does an entry whose configuration no source
+        has confirmed, after its start or after a freeze.
         """
         confirmed = self.feed.gate.confirmed(self._clock())
         return not confirmed or not self.feed.ready.is_set() or self.is_watcher()
 
     def start(self) -> None:
-        """Keep up to date from now on."""
+        """Start the threads that synchronise the configuration."""
         self.source.start()
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop asking and watching."""
+        """Stop pulling from peers and reading the store."""
         self._stopping.set()
         self._wake.set()
         self.source.stop()
 
     def pull_if_newer(self, version: ConfigVersion) -> None:
-        """Ask at once if a sidecar knows a newer version."""
+        """Pull at once if ``version``, reported by a sidecar, is newer."""
         if version > self.feed.version:
             self._wake.set()
 
