--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -241,7 +241,7 @@
             "orders_begin",
             epoch=self.election.epoch(),
             before=predecessor.vm if predecessor else "-",
-            held_for=predecessor.held_for if predecessor else 0.0,
+            held_for=predecessor.held_s if predecessor else 0.0,
         )
 
     def _sync_controllers(self) -> None:
--- a/src/persimmonhitch/direct/leader_election.py
+++ b/src/persimmonhitch/direct/leader_election.py
@@ -96,7 +96,7 @@
     @property
     def predecessor(self) -> Predecessor | None:
         """Return the previous holder of the lease, or None."""
-        return self._lease.before
+        return self._lease.predecessor
 
     def start(self) -> None:
         """Start competing for the lease."""
@@ -113,7 +113,7 @@
 
     def store_restored(self) -> None:
         """Drop the lease after the store was restored from an older copy."""
-        self._lease.store_restored()
+        self._lease.handle_store_restore()
         self._step_due.set()
 
     def epoch(self) -> Epoch | None:
@@ -132,11 +132,11 @@
             now - self._probe_failed_at.get(vm, -PROBE_TTL_S) < PROBE_TTL_S
             for vm in peers
         )
-        return self._lease.caretaker() if store_unavailable and peers else None
+        return self._lease.caretaker_epoch() if store_unavailable and peers else None
 
     def orders_allowed_at(self, upstream: Upstream, leading_since: float) -> float:
         """Return the time from which this entry may send orders to an engine."""
-        predecessor = self._lease.before
+        predecessor = self._lease.predecessor
         # A lost link does not prove that the process has ended, but a new process does.
         ended = predecessor is not None and self._peers.restarted(
             predecessor.vm, predecessor.incarnation
@@ -148,7 +148,7 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             self._run_step()
-            self._step_due.wait(self._lease.step_every)
+            self._step_due.wait(self._lease.step_interval_s)
             self._step_due.clear()
 
     def _run_step(self) -> None:
@@ -165,11 +165,11 @@
         if self._lease.epoch() is None and leader_age <= LEADER_TTL_S + self._backoff():
             return
         self._lease.step()
-        renewal = self._lease.renewal()
+        renewal = self._lease.last_renewal()
         if renewal is not None:
             self._peers.send_to_all(LeaseRenewed(*renewal))
         epoch = self._lease.epoch()
-        if self._lease.failing and epoch is not None:
+        if self._lease.renewal_failing and epoch is not None:
             self._peers.send_to_all(StoreProbe(epoch))
 
     def _backoff(self) -> float:
@@ -180,7 +180,7 @@
         """
         return (
             min(self._rank() // CANDIDATES_PER_STEP, MAX_BACKOFF_STEPS)
-            * self._lease.step_every
+            * self._lease.step_interval_s
         )
 
     def receive_probe(self, vm: Vm, msg: StoreProbe) -> None:
@@ -188,16 +188,16 @@
         self._probes.submit(self._send_probe_reply, vm, msg.epoch)
 
     def _send_probe_reply(self, vm: Vm, epoch: Epoch) -> None:
-        self._peers.send(vm, StoreProbeReply(epoch, self._lease.reachable()))
+        self._peers.send(vm, StoreProbeReply(epoch, self._lease.store_reachable()))
 
     def receive_probe_reply(self, vm: Vm, msg: StoreProbeReply) -> None:
         """Release the lease if the peer reaches the store and this entry does not."""
         if not msg.reachable:
             self._probe_failed_at[vm] = self._clock()
             return
-        if not self._lease.failing or self._lease.epoch() != msg.epoch:
+        if not self._lease.renewal_failing or self._lease.epoch() != msg.epoch:
             return
-        epoch = self._lease.resign()
+        epoch = self._lease.abandon()
         if epoch is not None:
             self._broadcast_release(epoch)
 
@@ -209,7 +209,7 @@
 
     def receive_release(self, vm: Vm, msg: LeaseReleased) -> None:
         """Compete for the lease that another entry has released."""
-        self._lease.hear_resigned(vm, msg.epoch)
+        self._lease.receive_release(vm, msg.epoch)
         self._history.record_release(vm, msg.order_ages_s)
         self._leader_seen_at = self._clock() - LEADER_TTL_S
         self._step_due.set()
@@ -217,10 +217,10 @@
     def receive_renewal(self, msg: LeaseRenewed, sent_at: float) -> None:
         """Record the time of a renewal that the leader reported at ``sent_at``."""
         delay = max(0.0, self._clock() - sent_at)
-        self._lease.hear_renewal(Version(msg.version), msg.age_s + delay)
+        self._lease.receive_renewal(Version(msg.version), msg.age_s + delay)
 
     def receive_inventory_update(self, vm: Vm, msg: InventoryUpdate) -> None:
         """Record that the leader is alive, and its order count for an engine."""
         self._leader_seen_at = self._clock()
-        self._lease.saw_epoch(msg.epoch)
+        self._lease.observe_epoch(msg.epoch)
         self._history.record_orders(vm, msg.upstream, msg.order_count)
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -299,7 +299,7 @@
 
     def _on_entries(self, view: View) -> None:
         self.peers = frozenset(Vm(name) for name in view.objects) - {self.vm}
-        self.mesh.update(view)
+        self.mesh.update_entries(view)
         infos = (PeerInfo.from_object(obj) for obj in view.objects.values())
         self.overlay.update(
             Member(info.vm, info.zone, info.cores)
--- a/src/persimmonhitch/direct/order_history.py
+++ b/src/persimmonhitch/direct/order_history.py
@@ -85,7 +85,7 @@
         sender released the lease properly. In a rolling restart of all entries it would
         otherwise send orders right after the previous leader.
         """
-        if predecessor.vm == self._vm and predecessor.held_for >= self._guard_s:
+        if predecessor.vm == self._vm and predecessor.held_s >= self._guard_s:
             # Only the previous process on this VM sent orders within the guard time.
             return self._started_at
         return self._started_at + self._guard_s
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -70,7 +70,7 @@
         self.pool = SidecarPool(secret, self.hello, self.sync)
         self.sidecars = Watcher(store, Kind.SIDECAR, self.pool.update)
         self.vms = Watcher(store, Kind.VM, self.pool.update_vms)
-        self.entries = Watcher(store, Kind.ENTRY, self.mesh.update)
+        self.entries = Watcher(store, Kind.ENTRY, self.mesh.update_entries)
         self.borrowed = BorrowedSidecars(
             self.mesh,
             lambda: self.sidecars.view,
--- a/src/persimmonhitch/entry/peers.py
+++ b/src/persimmonhitch/entry/peers.py
@@ -18,13 +18,13 @@
 from ..wire.messages import PROTOCOL, Hello, Role
 
 M = TypeVar("M")
-RELINK_EVERY: Final = 0.3
-OPENERS: Final = 4
+RELINK_INTERVAL_S: Final = 0.3
+MAX_OPENS: Final = 4
 """Links that are opened at a time; one to a VM without power takes seconds to fail."""
-UNUSED_FOR: Final = 5.0
+UNUSED_LINK_TTL_S: Final = 5.0
 """Seconds after which a link is closed that is no longer wanted."""
 
-Handler = Callable[[Vm, Any], None]
+MessageHandler = Callable[[Vm, Any], None]
 Address = tuple[str, int]
 
 
@@ -90,20 +90,20 @@
         self._wanted = wanted
         self._wanted_at: dict[Vm, float] = {}
         self._opening: set[Vm] = set()
-        self._openers = ThreadPoolExecutor(OPENERS, thread_name_prefix="peer-links")
+        self._openers = ThreadPoolExecutor(MAX_OPENS, thread_name_prefix="peer-links")
         self._seed_links: dict[Address, Link] = {}
-        self._own: set[Address] = set()
+        self._own_addresses: set[Address] = set()
         self._secret = secret
         self._hello = hello
-        self._handlers: dict[type, Handler] = {}
+        self._handlers: dict[type, MessageHandler] = {}
         self._infos: dict[Vm, PeerInfo] = {}
         self._links: dict[Vm, Link] = {}
-        self._greeted: dict[Link, Hello] = {}
-        self._greeted_by: dict[Vm, Link] = {}
+        self._hellos: dict[Link, Hello] = {}
+        self._hello_links: dict[Vm, Link] = {}
         self._incarnations: dict[Vm, Incarnation] = {}
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self._handling = ThreadPoolExecutor(1, thread_name_prefix="peer-messages")
+        self._handler_pool = ThreadPoolExecutor(1, thread_name_prefix="peer-messages")
         self._server = LinkServer(host, port, secret, self._accept)
         self._thread = threading.Thread(target=self._run, name="peers", daemon=True)
 
@@ -129,26 +129,26 @@
         self._stopping.set()
         self._server.stop()
         with self._lock:
-            links = [*self._links.values(), *self._greeted]
+            links = [*self._links.values(), *self._hellos]
         for link in links:
             link.close()
-        self._handling.shutdown(wait=False, cancel_futures=True)
+        self._handler_pool.shutdown(wait=False, cancel_futures=True)
         self._openers.shutdown(wait=False, cancel_futures=True)
 
-    def update(self, view: View) -> None:
+    def update_entries(self, view: View) -> None:
         """Take the store's list of entries."""
         infos = [PeerInfo.from_object(obj) for obj in view.objects.values()]
-        found = {info.vm: info for info in infos if info and info.vm != self.vm}
+        by_vm = {info.vm: info for info in infos if info and info.vm != self.vm}
         with self._lock:
-            self._infos = found
+            self._infos = by_vm
 
     def peers(self) -> tuple[PeerInfo, ...]:
         """Return the entries to which a link is open."""
         with self._lock:
             linked = tuple(i for vm, i in self._infos.items() if vm in self._links)
-            others = {msg.vm: msg for msg in self._greeted.values()}
-            unlisted = others.keys() - self._infos.keys() - {self.vm}
-            return (*linked, *(PeerInfo.from_hello(others[vm]) for vm in unlisted))
+            hellos = {msg.vm: msg for msg in self._hellos.values()}
+            unlisted = hellos.keys() - self._infos.keys() - {self.vm}
+            return (*linked, *(PeerInfo.from_hello(hellos[vm]) for vm in unlisted))
 
     def incarnation(self, vm: Vm) -> Incarnation | None:
         """Return the newest process that has greeted from a VM, gone or not."""
@@ -162,11 +162,11 @@
     def send_frame(self, vm: Vm, frame: bytes) -> bool:
         """Send an encoded message to one entry; False when no link to it is open."""
         with self._lock:
-            link = self._links.get(vm) or self._greeted_by.get(vm)
+            link = self._links.get(vm) or self._hello_links.get(vm)
         return link is not None and link.send_frame(frame)
 
     def _run(self) -> None:
-        while not self._stopping.wait(RELINK_EVERY):
+        while not self._stopping.wait(RELINK_INTERVAL_S):
             with self._lock:
                 infos = dict(self._infos)
                 links = dict(self._links)
@@ -178,24 +178,24 @@
                     self._opening.add(vm)
                     self._openers.submit(self._open, infos[vm])
             for vm, link in links.items():
-                unused = now - self._wanted_at.get(vm, now) > UNUSED_FOR
+                unused = now - self._wanted_at.get(vm, now) > UNUSED_LINK_TTL_S
                 if vm not in infos or unused:
                     link.close()
-            self._ask_seeds(bool(infos))
+            self._update_seed_links(bool(infos))
 
-    def _ask_seeds(self, listed: bool) -> None:
+    def _update_seed_links(self, has_listed: bool) -> None:
         """Keep links to the seeds, only while the store lists no other entry."""
         with self._lock:
             links = dict(self._seed_links)
-        if listed:
+        if has_listed:
             for link in links.values():
                 link.close()
             return
         for address in self._seeds:
-            if address in links or address in self._own:
+            if address in links or address in self._own_addresses:
                 continue
-            opened = _Opened(self)
-            result = open_link(*address, self._secret, opened, self._hello())
+            handler = _OpenedLink(self)
+            result = open_link(*address, self._secret, handler, self._hello())
             if isinstance(result, Success):
                 with self._lock:
                     if not result.unwrap().ended.is_set():
@@ -203,13 +203,13 @@
 
     def _open(self, info: PeerInfo) -> None:
         try:
-            self._open_one(info)
+            self._open_link(info)
         finally:
             self._opening.discard(info.vm)
 
-    def _open_one(self, info: PeerInfo) -> None:
+    def _open_link(self, info: PeerInfo) -> None:
         result = open_link(
-            info.host, info.port, self._secret, _Opened(self), self._hello()
+            info.host, info.port, self._secret, _OpenedLink(self), self._hello()
         )
         if not isinstance(result, Success):
             return
@@ -227,24 +227,24 @@
     def on_message(self, link: Link, msg: Any) -> None:
         """Take one message of a peer; its first must be ``Hello``."""
         if isinstance(msg, Hello):
-            if self.greet(link, msg):
+            if self.receive_hello(link, msg):
                 link.send(self._hello())
             return
-        hello = self._greeted.get(link)
+        hello = self._hellos.get(link)
         handler = self._handlers.get(type(msg))
         if hello is None or handler is None:
             log("message_unexpected", peer=link.peer, kind=type(msg).__name__)
             link.close()
             return
-        self._handling.submit(self._handle, handler, hello.vm, msg)
+        self._handler_pool.submit(self._handle, handler, hello.vm, msg)
 
-    def _handle(self, handler: Handler, vm: Vm, msg: Any) -> None:
+    def _handle(self, handler: MessageHandler, vm: Vm, msg: Any) -> None:
         try:
             handler(vm, msg)
         except Exception as exc:
             log("peer_message_failed", peer_vm=vm, error=repr(exc))
 
-    def greet(self, link: Link, msg: Hello) -> bool:
+    def receive_hello(self, link: Link, msg: Hello) -> bool:
         """Note who is at the other end; return whether it is another entry."""
         if msg.protocol != PROTOCOL or msg.role is not Role.ENTRY:
             log("protocol_mismatch", peer=link.peer, theirs=msg.protocol, ours=PROTOCOL)
@@ -252,35 +252,35 @@
             return False
         if msg.vm == self.vm:
             with self._lock:
-                own = [a for a, ln in self._seed_links.items() if ln is link]
-                self._own.update(own)
+                own_addresses = [a for a, ln in self._seed_links.items() if ln is link]
+                self._own_addresses.update(own_addresses)
             link.close()
             return False
         with self._lock:
             if not link.ended.is_set():
-                self._greeted[link] = msg
-                self._greeted_by[msg.vm] = link
+                self._hellos[link] = msg
+                self._hello_links[msg.vm] = link
                 self._incarnations[msg.vm] = msg.incarnation
         return True
 
     def on_close(self, link: Link) -> None:
         """Forget a link that has ended."""
         with self._lock:
-            msg = self._greeted.pop(link, None)
-            if msg is not None and self._greeted_by.get(msg.vm) is link:
-                self._forget_greeting(msg.vm)
+            msg = self._hellos.pop(link, None)
+            if msg is not None and self._hello_links.get(msg.vm) is link:
+                self._remove_hello(msg.vm)
             self._links = {vm: ln for vm, ln in self._links.items() if ln is not link}
             seeds = self._seed_links.items()
             self._seed_links = {a: ln for a, ln in seeds if ln is not link}
 
-    def _forget_greeting(self, vm: Vm) -> None:
-        del self._greeted_by[vm]
-        for link, msg in self._greeted.items():
+    def _remove_hello(self, vm: Vm) -> None:
+        del self._hello_links[vm]
+        for link, msg in self._hellos.items():
             if msg.vm == vm:
-                self._greeted_by[vm] = link
+                self._hello_links[vm] = link
 
 
-class _Opened:
+class _OpenedLink:
     """Handler of a link that this entry opened: its greeting gets no answer."""
 
     def __init__(self, mesh: PeerMesh) -> None:
@@ -288,7 +288,7 @@
 
     def on_message(self, link: Link, msg: Any) -> None:
         if isinstance(msg, Hello):
-            self._mesh.greet(link, msg)
+            self._mesh.receive_hello(link, msg)
             return
         self._mesh.on_message(link, msg)
 
--- a/src/persimmonhitch/planner/lease.py
+++ b/src/persimmonhitch/planner/lease.py
@@ -26,10 +26,10 @@
 from ..observe.logs import log
 from ..store.objects import Kind, ObjectStore, StoredObject, StoreError, Version
 
-MARGIN: Final = 0.05
+EXPIRY_MARGIN: Final = 0.05
 """Part of the duration by which the holder stops early: clocks run unevenly."""
 RENEWALS_PER_LEASE: Final = 3
-NOBODY: Final = ""
+NO_HOLDER: Final = ""
 EPOCH_BITS: Final = 16
 """Bits of an epoch below the store's era: holdings within one era."""
 
@@ -48,7 +48,7 @@
     epoch: int
     renewals: int
     duration: float
-    last: str = NOBODY
+    last: str = NO_HOLDER
     """Who held it before it was released; whoever is next has to know."""
 
     @classmethod
@@ -61,10 +61,10 @@
             int(spec["epoch"]),
             int(spec["renewals"]),
             float(spec["duration"]),
-            str(spec.get("last", NOBODY)),
+            str(spec.get("last", NO_HOLDER)),
         )
 
-    def spec(self) -> dict[str, Any]:
+    def to_spec(self) -> dict[str, Any]:
         """Return it as the store keeps it."""
         return dict(vars(self))
 
@@ -75,7 +75,7 @@
 
     vm: Vm
     incarnation: Incarnation
-    held_for: float
+    held_s: float
     """Seconds for which it held the lease at least."""
 
 
@@ -117,25 +117,25 @@
         self._clock = clock
         self._lock = threading.RLock()
         self._held: StoredObject | None = None
-        self._held_since = 0.0
+        self._renewed_at = 0.0
         self._valid_until = 0.0
-        self._seen: Version | None = None
+        self._seen_version: Version | None = None
         self._seen_at = 0.0
-        self._least_epoch = 0
+        self._min_epoch = 0
         self._sent: tuple[int, int, float] | None = None
-        self._care: Epoch | None = None
-        self._away = False
+        self._caretaker: Epoch | None = None
+        self._store_unavailable = False
         self._stepped_at = 0.0
-        self._resigned: tuple[str, int] | None = None
+        self._peer_release: tuple[str, int] | None = None
         self._restored_at: float | None = None
         """When it was heard that the store has come back from a copy."""
-        self._ours_until = 0.0
+        self._exclusive_until = 0.0
         """Until when nobody else may take a lease that was held at that time."""
-        self.before: Predecessor | None = None
+        self.predecessor: Predecessor | None = None
         """Who held the lease before it was ours, this VM included; None for nobody."""
 
     @property
-    def step_every(self) -> float:
+    def step_interval_s(self) -> float:
         """Return the seconds between two steps."""
         return self._duration / RENEWALS_PER_LEASE
 
@@ -147,40 +147,40 @@
             return Epoch(LeaseSpec.from_object(self._held).epoch)
 
     @property
-    def failing(self) -> bool:
+    def renewal_failing(self) -> bool:
         """Return whether the store's absence keeps the held lease from renewal."""
-        return self._away and self._held is not None
+        return self._store_unavailable and self._held is not None
 
-    def renewal(self) -> tuple[Version, float] | None:
+    def last_renewal(self) -> tuple[Version, float] | None:
         """Return the held lease's version and the seconds since it was sent."""
         with self._lock:
             if self._held is None or self._sent is None:
                 return None
-            return self._held.version, self._clock() - self._held_since
+            return self._held.version, self._clock() - self._renewed_at
 
-    def resign(self) -> Epoch | None:
+    def abandon(self) -> Epoch | None:
         """Give the lease up without the store; return the epoch that ends."""
         with self._lock:
             epoch = self.epoch()
-            self._held = self._sent = self._care = None
-            self._ours_until = 0.0
+            self._held = self._sent = self._caretaker = None
+            self._exclusive_until = 0.0
         return epoch
 
-    def hear_renewal(self, version: Version, age: float) -> None:
+    def receive_renewal(self, version: Version, age_s: float) -> None:
         """Take from the holder itself when it wrote a version of the lease.
 
         The lease is over that much sooner than by this process's own looks at it, of
         which the first would only begin to count.
         """
         with self._lock:
-            if version != self._seen:
-                self._seen, self._seen_at = version, self._clock() - age
+            if version != self._seen_version:
+                self._seen_version, self._seen_at = version, self._clock() - age_s
 
-    def hear_resigned(self, vm: Vm, epoch: Epoch) -> None:
+    def receive_release(self, vm: Vm, epoch: Epoch) -> None:
         """Take from the holder itself that it acts under an epoch no more."""
-        self._resigned = (vm, epoch)
+        self._peer_release = (vm, epoch)
 
-    def store_restored(self) -> None:
+    def handle_store_restore(self) -> None:
         """Hold nothing by the word of a store that has come back from a copy.
 
         Whoever held the lease takes it anew, above its last epoch. All others wait as
@@ -190,42 +190,42 @@
             now = self._clock()
             if self._held is not None:
                 spec = LeaseSpec.from_object(self._held)
-                self._least_epoch = max(self._least_epoch, spec.epoch)
-                self._ours_until = self._valid_until
+                self._min_epoch = max(self._min_epoch, spec.epoch)
+                self._exclusive_until = self._valid_until
                 log("lease_in_doubt", epoch=spec.epoch)
-            self._held = self._sent = self._care = self._seen = None
+            self._held = self._sent = self._caretaker = self._seen_version = None
             self._restored_at = now
 
-    def _is_ours(self) -> bool:
+    def _has_exclusive_claim(self) -> bool:
         """Return whether this process held the lease when the store came back."""
-        return self._clock() < self._ours_until
+        return self._clock() < self._exclusive_until
 
-    def _is_in_doubt(self) -> bool:
+    def _may_be_held_elsewhere(self) -> bool:
         """Return whether another holder may still act on a lease that was lost."""
         restored_at = self._restored_at
-        if restored_at is None or self._is_ours():
+        if restored_at is None or self._has_exclusive_claim():
             return False
         return self._clock() - restored_at < self._duration
 
-    def caretaker(self) -> Epoch | None:
+    def caretaker_epoch(self) -> Epoch | None:
         """Return the last epoch held, if only the store's absence ended it."""
         with self._lock:
             if self._clock() - self._stepped_at > self._duration:
                 return None
-            return self._care
+            return self._caretaker
 
-    def saw_epoch(self, epoch: Epoch) -> None:
+    def observe_epoch(self, epoch: Epoch) -> None:
         """Give up a lease that somebody overtook; the next one goes higher."""
         with self._lock:
-            self._least_epoch = max(self._least_epoch, epoch)
-            if self._care is not None and self._care < epoch:
-                self._care = None
+            self._min_epoch = max(self._min_epoch, epoch)
+            if self._caretaker is not None and self._caretaker < epoch:
+                self._caretaker = None
             held = self._held
             if held is not None and LeaseSpec.from_object(held).epoch < epoch:
                 log("lease_overtaken", epoch=epoch)
                 self._held = None
 
-    def reachable(self) -> bool:
+    def store_reachable(self) -> bool:
         """Return whether the store answers a look at the lease now."""
         result = self._store.get(Kind.LEASE, self._name)
         if isinstance(result, Success):
@@ -238,109 +238,109 @@
         paused = now - self._stepped_at > self._duration
         self._stepped_at = now
         if paused:
-            self._care = None
+            self._caretaker = None
         epoch = self.epoch()
         held = self._held
         if epoch is not None and held is not None:
             self._renew(held)
             return
         if held is not None:
-            self._lapse(held, paused)
-        self._try_to_take()
+            self._expire(held, paused)
+        self._try_acquire()
 
     def release(self) -> None:
         """Let the next holder in at once."""
-        held, self._held, self._sent, self._care = self._held, None, None, None
+        held, self._held, self._sent, self._caretaker = self._held, None, None, None
         if held is None:
             return
         spec = LeaseSpec.from_object(held)
-        freed = replace(spec, holder=NOBODY, renewals=spec.renewals + 1, last=self._vm)
-        self._store.update(held, freed.spec())
+        new = replace(spec, holder=NO_HOLDER, renewals=spec.renewals + 1, last=self._vm)
+        self._store.update(held, new.to_spec())
 
-    def _lapse(self, held: StoredObject, paused: bool) -> None:
-        last = LeaseSpec.from_object(held).epoch
+    def _expire(self, held: StoredObject, paused: bool) -> None:
+        epoch = LeaseSpec.from_object(held).epoch
         self._held = None
-        if self._away and not paused:
-            self._care = Epoch(last)
-        log("lease_lapsed", epoch=last, caretaker=self._care is not None)
+        if self._store_unavailable and not paused:
+            self._caretaker = Epoch(epoch)
+        log("lease_lapsed", epoch=epoch, caretaker=self._caretaker is not None)
 
     def _renew(self, held: StoredObject) -> None:
         old = LeaseSpec.from_object(held)
         self._write(held, old.epoch, old.renewals + 1)
 
-    def _try_to_take(self) -> None:
+    def _try_acquire(self) -> None:
         result = self._store.get(Kind.LEASE, self._name)
         if isinstance(result, Success):
-            self._care = None
-            self._take_over(result.unwrap())
+            self._caretaker = None
+            self._acquire_existing(result.unwrap())
         elif result.failure().error is StoreError.UNAVAILABLE:
             # The holder could not renew it meanwhile either, and is to have its time
             # for that when the store is back.
-            self._seen = None
+            self._seen_version = None
         elif result.failure().error is StoreError.NOT_FOUND:
-            if not self._is_in_doubt():
-                self._write(None, self._floor() + 1, 0)
+            if not self._may_be_held_elsewhere():
+                self._write(None, self._epoch_floor() + 1, 0)
 
-    def _floor(self) -> int:
+    def _epoch_floor(self) -> int:
         """Return an epoch that is not below any that was ever taken.
 
         A copy of the store may have lost the newest; those of a later era are above all
         of the eras before.
         """
-        return max(self._least_epoch, self._store_era() << EPOCH_BITS)
+        return max(self._min_epoch, self._store_era() << EPOCH_BITS)
 
-    def _take_over(self, obj: StoredObject) -> None:
+    def _acquire_existing(self, obj: StoredObject) -> None:
         old = LeaseSpec.from_object(obj)
-        if self._is_lost_answer(obj, old):
+        if self._adopt_unanswered_write(obj, old):
             return
-        if self._free(obj, old):
-            if not self._is_ours():
-                self.before = self._predecessor(old)
-            self._write(obj, max(old.epoch, self._floor()) + 1, 0)
+        if self._is_free(obj, old):
+            if not self._has_exclusive_claim():
+                self.predecessor = self._read_predecessor(old)
+            self._write(obj, max(old.epoch, self._epoch_floor()) + 1, 0)
 
-    def _predecessor(self, old: LeaseSpec) -> Predecessor:
-        renewed = max(0, old.renewals - 1) * self.step_every
-        vm = old.last if old.holder == NOBODY else old.holder
-        return Predecessor(Vm(vm), Incarnation(old.incarnation), renewed)
+    def _read_predecessor(self, old: LeaseSpec) -> Predecessor:
+        held_s = max(0, old.renewals - 1) * self.step_interval_s
+        vm = old.last if old.holder == NO_HOLDER else old.holder
+        return Predecessor(Vm(vm), Incarnation(old.incarnation), held_s)
 
-    def _free(self, obj: StoredObject, old: LeaseSpec) -> bool:
+    def _is_free(self, obj: StoredObject, old: LeaseSpec) -> bool:
         now = self._clock()
-        if self._resigned == (old.holder, old.epoch) or self._is_ours():
+        if self._peer_release == (old.holder, old.epoch) or self._has_exclusive_claim():
             return True
-        if self._is_in_doubt():
+        if self._may_be_held_elsewhere():
             return False
         # A process that starts on a VM is proof that the one before it has ended.
-        if old.holder in (NOBODY, self._vm) or old.incarnation == self._incarnation:
+        if old.holder in (NO_HOLDER, self._vm) or old.incarnation == self._incarnation:
             return True
-        if self._seen != obj.version:
-            self._seen, self._seen_at = obj.version, now
+        if self._seen_version != obj.version:
+            self._seen_version, self._seen_at = obj.version, now
         return now - self._seen_at >= old.duration
 
     def _write(self, old: StoredObject | None, epoch: int, renewals: int) -> None:
         sent_at = self._clock()
         lease = LeaseSpec(
             self._vm, self._incarnation, epoch, renewals, self._duration
-        ).spec()
+        ).to_spec()
         # The same write sent again may have taken effect the first time, without an
         # answer; the lease counts from then.
-        again = self._sent is not None and self._sent[:2] == (epoch, renewals)
-        if not again:
+        repeated = self._sent is not None and self._sent[:2] == (epoch, renewals)
+        if not repeated:
             self._sent = (epoch, renewals, sent_at)
         if old is None:
             result = self._store.create(Kind.LEASE, self._name, lease)
         else:
             result = self._store.update(old, lease)
         if isinstance(result, Success):
-            self._away = False
-            self._hold(result.unwrap(), sent_at)
+            self._store_unavailable = False
+            self._set_held(result.unwrap(), sent_at)
             return
         failure = result.failure()
-        self._away = failure.error is StoreError.UNAVAILABLE
+        self._store_unavailable = failure.error is StoreError.UNAVAILABLE
         log("lease_not_written", error=failure.error.value, detail=failure.detail)
         if old is not None and self._held is old:
-            self._after_failed_renewal(failure.error)
+            self._handle_failed_renewal(failure.error)
 
-    def _after_failed_renewal(self, error: StoreError) -> None:
+    def _handle_failed_renewal(self, error: StoreError) -> None:
         # A renewal whose answer was lost has a newer version than the one held:
         # all later renewals would conflict and a healthy holder lose its lease.
         if error is StoreError.UNAVAILABLE:
@@ -354,34 +354,34 @@
         if not isinstance(result, Success):
             return
         obj = result.unwrap()
-        own = self._is_lost_answer(obj, LeaseSpec.from_object(obj))
+        own = self._adopt_unanswered_write(obj, LeaseSpec.from_object(obj))
         if not own and obj.version != (self._held and self._held.version):
             self._held = None
 
-    def _is_lost_answer(self, obj: StoredObject, spec: LeaseSpec) -> bool:
+    def _adopt_unanswered_write(self, obj: StoredObject, spec: LeaseSpec) -> bool:
         """Hold a lease whose write took effect without an answer."""
         if spec.incarnation != self._incarnation or self._sent is None:
             return False
         epoch, renewals, sent_at = self._sent
         if (spec.epoch, spec.renewals) != (epoch, renewals):
             return False
-        if epoch < self._least_epoch:
+        if epoch < self._min_epoch:
             return False
-        if self._clock() >= self._end(sent_at):
+        if self._clock() >= self._expiry(sent_at):
             return False
-        self._hold(obj, sent_at)
+        self._set_held(obj, sent_at)
         return True
 
-    def _hold(self, obj: StoredObject, sent_at: float) -> None:
+    def _set_held(self, obj: StoredObject, sent_at: float) -> None:
         with self._lock:
-            if obj.spec["epoch"] < self._least_epoch:
+            if obj.spec["epoch"] < self._min_epoch:
                 return
             if self._held is None:
                 log("lease_taken", epoch=obj.spec["epoch"])
             self._held = obj
-            self._held_since = sent_at
-            self._ours_until = 0.0
-            self._valid_until = self._end(sent_at)
+            self._renewed_at = sent_at
+            self._exclusive_until = 0.0
+            self._valid_until = self._expiry(sent_at)
 
-    def _end(self, sent_at: float) -> float:
-        return sent_at + self._duration * (1.0 - MARGIN)
+    def _expiry(self, sent_at: float) -> float:
+        return sent_at + self._duration * (1.0 - EXPIRY_MARGIN)
--- a/src/persimmonhitch/planner/links.py
+++ b/src/persimmonhitch/planner/links.py
@@ -14,7 +14,7 @@
 from ..wire.link import Link, open_link
 from ..wire.messages import Hello
 
-DIALS_AT_ONCE: Final = 8
+MAX_CONCURRENT_DIALS: Final = 8
 
 
 @dataclass(frozen=True)
@@ -34,27 +34,27 @@
 
 
 @dataclass(frozen=True)
-class FromSidecar:
+class SidecarMessage:
     """A message of a sidecar."""
 
     upstream: Upstream
     msg: Any
 
 
-class _Handler:
+class _LinkHandler:
     """Hands a link's messages on under the upstream's name."""
 
-    def __init__(self, upstream: Upstream, tell: Callable[[Any], None]) -> None:
+    def __init__(self, upstream: Upstream, deliver: Callable[[Any], None]) -> None:
         self._upstream = upstream
-        self._tell = tell
+        self._deliver = deliver
 
     def on_message(self, link: Link, msg: Any) -> None:
         """Hand a message on."""
-        self._tell(FromSidecar(self._upstream, msg))
+        self._deliver(SidecarMessage(self._upstream, msg))
 
     def on_close(self, link: Link) -> None:
         """Hand the end on."""
-        self._tell(LinkLost(self._upstream, link))
+        self._deliver(LinkLost(self._upstream, link))
 
 
 class Dialer:
@@ -67,37 +67,37 @@
     hello : callable
         First message of a link.
     tell : callable
-        Takes ``LinkOpened``, ``LinkLost`` and ``FromSidecar``.
+        Takes ``LinkOpened``, ``LinkLost`` and ``SidecarMessage``.
     """
 
     def __init__(
-        self, secret: bytes, hello: Callable[[], Hello], tell: Callable[[Any], None]
+        self, secret: bytes, hello: Callable[[], Hello], deliver: Callable[[Any], None]
     ) -> None:
         self._secret = secret
         self._hello = hello
-        self._tell = tell
-        self._under_way: set[Upstream] = set()
+        self._deliver = deliver
+        self._dialing: set[Upstream] = set()
         self._lock = threading.Lock()
-        self._pool = ThreadPoolExecutor(DIALS_AT_ONCE, thread_name_prefix="dial")
+        self._pool = ThreadPoolExecutor(MAX_CONCURRENT_DIALS, thread_name_prefix="dial")
 
     def dial(self, info: SidecarInfo) -> None:
         """Try to reach a sidecar, unless a try is under way."""
         with self._lock:
-            if info.upstream in self._under_way:
+            if info.upstream in self._dialing:
                 return
-            self._under_way.add(info.upstream)
-        self._pool.submit(self._try, info)
+            self._dialing.add(info.upstream)
+        self._pool.submit(self._open, info)
 
     def stop(self) -> None:
         """Try no more."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    def _try(self, info: SidecarInfo) -> None:
-        handler = _Handler(info.upstream, self._tell)
+    def _open(self, info: SidecarInfo) -> None:
+        handler = _LinkHandler(info.upstream, self._deliver)
         result = open_link(info.host, info.port, self._secret, handler, self._hello())
         if isinstance(result, Success):
-            self._tell(LinkOpened(info.upstream, result.unwrap()))
+            self._deliver(LinkOpened(info.upstream, result.unwrap()))
         else:
             log("sidecar_unreached", upstream=info.upstream, error=result.failure())
         with self._lock:
-            self._under_way.discard(info.upstream)
+            self._dialing.discard(info.upstream)
--- a/src/persimmonhitch/planner/main.py
+++ b/src/persimmonhitch/planner/main.py
@@ -31,7 +31,7 @@
 from .lease import RENEWALS_PER_LEASE, LeaseKeeper
 from .links import Dialer
 from .planning import CatalogRead, PlanningActor, PlanningLimits, SidecarsListed, Tick
-from .round import Rounds
+from .round import RoundPlanner
 from .settings import PlannerSettings
 
 
@@ -51,15 +51,15 @@
         )
         self._actor: pykka.ActorRef[Any] = PlanningActor.start(
             self._lease,
-            Rounds(cfg.upstream_tokens, pacer),
+            RoundPlanner(cfg.upstream_tokens, pacer),
             PlanningLimits(cfg.settle),
             self._incarnation,
             time.monotonic,
         )
-        self._dialer = Dialer(cfg.secret.encode(), self._hello, self._tell)
+        self._dialer = Dialer(cfg.secret.encode(), self._hello, self._send)
         self._watcher: Watcher | None = None
         feed = CatalogFeed()
-        feed.add_listener(lambda catalog: self._tell(CatalogRead(catalog)))
+        feed.add_listener(lambda catalog: self._send(CatalogRead(catalog)))
         # Those that stand by read nothing; a change costs the holder one event.
         self._source = StoreSource(
             self._store, feed, lambda: self._lease.epoch() is not None
@@ -72,14 +72,14 @@
 
     def start(self) -> None:
         """Try for the lease and plan while it is held."""
-        self._tell(self._dialer)
-        self._every(self.cfg.lease_duration / RENEWALS_PER_LEASE, self._keep_lease)
-        self._every(self.cfg.period, lambda: self._tell(Tick()))
+        self._send(self._dialer)
+        self._repeat(self.cfg.lease_duration / RENEWALS_PER_LEASE, self._step_lease)
+        self._repeat(self.cfg.period, lambda: self._send(Tick()))
         self._source.start()
         log("started", lease=self.cfg.lease, incarnation=self._incarnation)
         announce("started")
 
-    def stop(self, _life: Lifecycle) -> None:
+    def stop(self, _lifecycle: Lifecycle) -> None:
         """Give no more orders, then let the next holder in."""
         self._stopping.set()
         self._source.stop()
@@ -87,34 +87,34 @@
         self._dialer.stop()
         self._lease.release()
 
-    def _every(self, seconds: float, step: Any) -> None:
+    def _repeat(self, interval_s: float, task: Any) -> None:
         def run() -> None:
             while not self._stopping.is_set():
-                step()
-                self._stopping.wait(seconds)
+                task()
+                self._stopping.wait(interval_s)
 
         threading.Thread(target=run, daemon=True).start()
 
-    def _keep_lease(self) -> None:
+    def _step_lease(self) -> None:
         self._lease.step()
-        held = (self._lease.epoch() or self._lease.caretaker()) is not None
-        if held and self._watcher is None:
-            self._watcher = Watcher(self._store, Kind.SIDECAR, self._listed)
+        active = (self._lease.epoch() or self._lease.caretaker_epoch()) is not None
+        if active and self._watcher is None:
+            self._watcher = Watcher(self._store, Kind.SIDECAR, self._on_sidecars)
             self._watcher.start()
-        if not held and self._watcher is not None:
+        if not active and self._watcher is not None:
             self._watcher.stop()
             self._watcher = None
 
-    def _listed(self, view: View) -> None:
-        found = (SidecarInfo.from_object(obj) for obj in view.objects.values())
+    def _on_sidecars(self, view: View) -> None:
+        sidecars = (SidecarInfo.from_object(obj) for obj in view.objects.values())
         engines = (
             info
-            for info in found
+            for info in sidecars
             if info is not None and info.kind is UpstreamKind.ENGINE
         )
         regions = frozenset(self.cfg.regions)
-        mine = (info for info in engines if not regions or info.region in regions)
-        self._tell(SidecarsListed({info.upstream: info for info in mine}))
+        selected = (info for info in engines if not regions or info.region in regions)
+        self._send(SidecarsListed({info.upstream: info for info in selected}))
 
     def _hello(self) -> Hello:
         cfg = self.cfg
@@ -122,7 +122,7 @@
         vm, zone = Vm(cfg.vm), Zone(cfg.zone)
         return Hello(PROTOCOL, Role.PLANNER, vm, zone, self._incarnation, version)
 
-    def _tell(self, message: Any) -> None:
+    def _send(self, message: Any) -> None:
         try:
             self._actor.tell(message)
         except pykka.ActorDeadError:
@@ -136,5 +136,5 @@
         "planner",
         PlannerSettings,
         args,
-        lambda cfg, _life: PlannerProcess.from_config(cfg),
+        lambda cfg, _lifecycle: PlannerProcess.from_config(cfg),
     )
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -16,12 +16,12 @@
 from ..wire.link import Link
 from ..wire.messages import Order, OrderDone, Welcome
 from ..wire.placement import Action, Inventory, OrderError
-from .fleet import FleetView, OpenOrder
+from .fleet import FleetView, PendingOrder
 from .lease import LeaseKeeper
-from .links import Dialer, FromSidecar, LinkLost, LinkOpened
-from .round import Rounds
+from .links import Dialer, LinkLost, LinkOpened, SidecarMessage
+from .round import RoundPlanner
 
-IGNORED_ERRORS: Final = frozenset({OrderError.STARTING.value, OrderError.BUSY.value})
+TRANSIENT_ERRORS: Final = frozenset({OrderError.STARTING.value, OrderError.BUSY.value})
 """Errors that pass by themselves."""
 
 
@@ -48,7 +48,7 @@
 class PlanningLimits:
     """What the actor needs of the settings."""
 
-    settle: float
+    settle_s: float
 
 
 class PlanningActor(pykka.ThreadingActor):
@@ -57,68 +57,68 @@
     def __init__(
         self,
         lease: LeaseKeeper,
-        rounds: Rounds,
+        planner: RoundPlanner,
         limits: PlanningLimits,
         incarnation: Incarnation,
         clock: Callable[[], float],
     ) -> None:
         super().__init__()
         self._lease = lease
-        self._rounds = rounds
+        self._planner = planner
         self._limits = limits
         self._incarnation = incarnation
         self._clock = clock
         self._dialer: Dialer | None = None
         self._catalog = EMPTY
         self._epoch: Epoch | None = None
-        self._since = 0.0
+        self._epoch_since = 0.0
         self._fleet = FleetView()
-        self._numbers = itertools.count(1)
+        self._order_numbers = itertools.count(1)
 
     def on_receive(self, message: Any) -> None:
         """Take one message."""
-        self.take(message)
+        self.handle(message)
 
     @singledispatchmethod
-    def take(self, message: Any) -> None:
+    def handle(self, message: Any) -> None:
         """Take a message by its kind."""
         log("message_unexpected", kind=type(message).__name__)
 
-    @take.register
+    @handle.register
     def _(self, dialer: Dialer) -> None:
         self._dialer = dialer
 
-    @take.register
+    @handle.register
     def _(self, msg: CatalogRead) -> None:
         if msg.catalog.version > self._catalog.version:
             self._catalog = msg.catalog
 
-    @take.register
+    @handle.register
     def _(self, msg: SidecarsListed) -> None:
         for link in self._fleet.set_sidecars(msg.infos):
             link.close()
 
-    @take.register
+    @handle.register
     def _(self, msg: LinkOpened) -> None:
-        if self._acting() is None or not self._fleet.opened(msg.upstream, msg.link):
+        if self._own_epoch() is None or not self._fleet.attach(msg.upstream, msg.link):
             msg.link.close()
             return
-        if self._epoch is not None and not self._fence(msg.link, self._epoch):
+        if self._epoch is not None and not self._send_fence(msg.link, self._epoch):
             # Its end was told before its opening: nobody would dial it again, and
             # the upstream would count as dead until the planner restarts.
-            self._fleet.lost(msg.upstream, msg.link)
+            self._fleet.detach(msg.upstream, msg.link)
 
-    @take.register
+    @handle.register
     def _(self, msg: LinkLost) -> None:
-        self._fleet.lost(msg.upstream, msg.link)
+        self._fleet.detach(msg.upstream, msg.link)
 
-    @take.register
-    def _(self, msg: FromSidecar) -> None:
-        self._from_sidecar(msg.msg, msg.upstream)
+    @handle.register
+    def _(self, msg: SidecarMessage) -> None:
+        self._handle_sidecar(msg.msg, msg.upstream)
 
-    @take.register
+    @handle.register
     def _(self, _msg: Tick) -> None:
-        epoch = self._acting()
+        epoch = self._own_epoch()
         if epoch != self._epoch:
             self._change_epoch(epoch)
         if epoch is None:
@@ -127,49 +127,49 @@
         self._plan(epoch)
 
     @singledispatchmethod
-    def _from_sidecar(self, msg: Any, upstream: Upstream) -> None:
+    def _handle_sidecar(self, msg: Any, upstream: Upstream) -> None:
         log("message_unexpected", upstream=upstream, kind=type(msg).__name__)
 
-    @_from_sidecar.register
+    @_handle_sidecar.register
     def _(self, msg: Welcome, upstream: Upstream) -> None:
         log("sidecar_reached", upstream=upstream)
 
-    @_from_sidecar.register
+    @_handle_sidecar.register
     def _(self, msg: Inventory, upstream: Upstream) -> None:
         if msg.upstream != upstream:
             log("holdings_of_another", upstream=upstream, named=msg.upstream)
             return
         if self._epoch is not None and msg.epoch > self._epoch:
-            self._lease.saw_epoch(msg.epoch)
-        self._fleet.heard(msg, self._clock())
+            self._lease.observe_epoch(msg.epoch)
+        self._fleet.receive_inventory(msg, self._clock())
 
-    @_from_sidecar.register
+    @_handle_sidecar.register
     def _(self, msg: OrderDone, upstream: Upstream) -> None:
-        order = self._fleet.done(upstream, msg)
+        order = self._fleet.finish_order(upstream, msg)
         if order is None:
             return
-        place = (order.move.model, upstream)
+        target = (order.move.model, upstream)
         if not msg.error:
-            self._rounds.retry.record_success(place)
-        elif msg.error not in IGNORED_ERRORS:
-            self._rounds.retry.record_failure(place, self._clock())
+            self._planner.retry.record_success(target)
+        elif msg.error not in TRANSIENT_ERRORS:
+            self._planner.retry.record_failure(target, self._clock())
         log(
             "order_ended", order=msg.order_id, upstream=upstream, error=msg.error or "-"
         )
 
-    def _acting(self) -> Epoch | None:
-        return self._lease.epoch() or self._lease.caretaker()
+    def _own_epoch(self) -> Epoch | None:
+        return self._lease.epoch() or self._lease.caretaker_epoch()
 
     def _may_send(self, move: Move, epoch: Epoch) -> bool:
         if self._lease.epoch() == epoch:
             return True
         rescue = move.is_load and move.reason is Reason.UNREACHABLE
-        return rescue and self._lease.caretaker() == epoch
+        return rescue and self._lease.caretaker_epoch() == epoch
 
     def _change_epoch(self, epoch: Epoch | None) -> None:
         log("epoch_changed", old=self._epoch, new=epoch)
         self._epoch = epoch
-        self._since = self._clock()
+        self._epoch_since = self._clock()
         for member in self._fleet.members.values():
             member.orders.clear()
             if member.link is None:
@@ -177,7 +177,7 @@
             if epoch is None:
                 member.link.close()
             else:
-                self._fence(member.link, epoch)
+                self._send_fence(member.link, epoch)
 
     def _dial(self) -> None:
         if self._dialer is None:
@@ -186,30 +186,30 @@
             if member.link is None:
                 self._dialer.dial(member.info)
 
-    def _fence(self, link: Link, epoch: Epoch) -> bool:
+    def _send_fence(self, link: Link, epoch: Epoch) -> bool:
         # Until a sidecar has refused older epochs, an order of the last holder may
         # change what it holds; its holdings count from then on only.
-        name = self._order_name(epoch)
-        order = Order(name, epoch, Action.FENCE.value, Model(""), None, "", 0.0)
+        order_id = self._new_order_id(epoch)
+        order = Order(order_id, epoch, Action.FENCE.value, Model(""), None, "", 0.0)
         return link.send(order)
 
     def _plan(self, epoch: Epoch) -> None:
         now = self._clock()
-        waited = now - self._since >= self._limits.settle
+        settled = now - self._epoch_since >= self._limits.settle_s
         if self._catalog.version == 0 or not self._fleet.members:
             return
-        if not (waited or self._fleet.heard_from_all(epoch)):
+        if not (settled or self._fleet.all_reported(epoch)):
             return
-        needs = self._rounds.needs(self._catalog, self._fleet.demand(epoch), now)
-        sites = self._fleet.sites(epoch, needs, now)
-        for move in self._rounds.moves(needs, sites, self._fleet.ordered(), now):
-            self._order(move, epoch)
+        needs = self._planner.needs(self._catalog, self._fleet.demand(epoch), now)
+        targets = self._fleet.targets(epoch, needs, now)
+        for move in self._planner.moves(needs, targets, self._fleet.pending(), now):
+            self._send_order(move, epoch)
 
-    def _order(self, move: Move, epoch: Epoch) -> None:
+    def _send_order(self, move: Move, epoch: Epoch) -> None:
         member = self._fleet.members[move.upstream]
         entry = self._catalog.models.get(move.model)
         memory = 0.0 if entry is None else entry.memory + entry.kv_memory
-        base, adapter = self._base(move, entry is None)
+        base, adapter = self._copy_id(move, entry is None)
         if member.link is None or base is None:
             return
         # A process that was frozen since the round began must not act on it: its
@@ -217,31 +217,31 @@
         if not self._may_send(move, epoch):
             return
         action = Action.LOAD if move.is_load else Action.UNLOAD
-        name = self._order_name(epoch)
-        order = Order(name, epoch, action.value, base, adapter, move.revision, memory)
-        member.orders[name] = OpenOrder(move, memory)
-        member.link.send(order)
+        order_id = self._new_order_id(epoch)
+        msg = Order(order_id, epoch, action.value, base, adapter, move.revision, memory)
+        member.orders[order_id] = PendingOrder(move, memory)
+        member.link.send(msg)
         log(
             "order_sent",
-            order=name,
+            order=order_id,
             action=action.value,
             model=move.model,
             upstream=move.upstream,
             reason=move.reason.value,
         )
 
-    def _base(self, move: Move, retired: bool) -> tuple[Model | None, Adapter | None]:
+    def _copy_id(self, move: Move, absent: bool) -> tuple[Model | None, Adapter | None]:
         """Return the base and adapter by which the sidecar knows the copy."""
-        if not retired:
+        if not absent:
             base = self._catalog.models[move.model].base
             if base is None:
                 return move.model, None
             return base, Adapter(move.model)
-        holdings = self._fleet.members[move.upstream].holdings
-        for held in () if holdings is None else holdings.copies:
-            if held.copy.name == move.model:
-                return held.copy.model, held.copy.adapter
+        inventory = self._fleet.members[move.upstream].inventory
+        for status in () if inventory is None else inventory.copies:
+            if status.copy.name == move.model:
+                return status.copy.model, status.copy.adapter
         return None, None
 
-    def _order_name(self, epoch: Epoch) -> str:
-        return f"{self._incarnation}-{epoch}-{next(self._numbers)}"
+    def _new_order_id(self, epoch: Epoch) -> str:
+        return f"{self._incarnation}-{epoch}-{next(self._order_numbers)}"
--- a/src/persimmonhitch/planner/round.py
+++ b/src/persimmonhitch/planner/round.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class Rounds:
+class RoundPlanner:
     """Keeps what the decisions need from one round to the next.
 
     Parameters
@@ -23,21 +23,21 @@
         The weight store's pace.
     """
 
-    speed: float
+    upstream_tokens: float
     pacer: LoadPacer
     retry: RetryBackoff = field(default_factory=RetryBackoff)
 
     def __post_init__(self) -> None:
-        self.counts = CopyCounts(self.speed)
-        self._stuck: set[tuple[Model, Reason]] = set()
+        self.counts = CopyCounts(self.upstream_tokens)
+        self._unplaced: set[tuple[Model, Reason]] = set()
 
     def needs(
-        self, catalog: Catalog, asked: dict[Model, float], now: float
+        self, catalog: Catalog, reported: dict[Model, float], now: float
     ) -> dict[Model, ModelRequirement]:
         """Return every model of the catalog with its demand and copies wanted."""
         entries = catalog.models
         bases = {m: e.base for m, e in entries.items() if e.base is not None}
-        demand = self.counts.smooth({m: asked.get(m, 0.0) for m in entries}, now)
+        demand = self.counts.smooth({m: reported.get(m, 0.0) for m in entries}, now)
         wanted = self.counts.update(demand, bases, now)
         return {
             model: ModelRequirement(
@@ -55,50 +55,50 @@
     def moves(
         self,
         needs: dict[Model, ModelRequirement],
-        sites: list[PlacementTarget],
-        ordered: set[LoadTarget],
+        targets: list[PlacementTarget],
+        pending: set[LoadTarget],
         now: float,
     ) -> list[Move]:
         """Return the moves to order now; places with an open order are left out."""
-        planned = make_plan(needs, sites, self.speed)
-        self._tell_stuck(planned.unplaced)
-        blocked = self.retry.blocked_targets(now) | ordered
+        planned = make_plan(needs, targets, self.upstream_tokens)
+        self._log_unplaced(planned.unplaced)
+        blocked = self.retry.blocked_targets(now) | pending
         chosen = [
             move
-            for move in (*planned.moves, *_unfinished(needs, sites))
+            for move in (*planned.moves, *_repeated_loads(needs, targets))
             if (move.model, move.upstream) not in blocked
         ]
         adapters = frozenset(m for m, need in needs.items() if need.base is not None)
-        models, lora = _under_way(sites, adapters)
-        return list(self.pacer.admit(chosen, adapters, models, lora, now))
+        model_loads, adapter_loads = _count_loads(targets, adapters)
+        return list(self.pacer.admit(chosen, adapters, model_loads, adapter_loads, now))
 
-    def _tell_stuck(self, stuck: tuple[tuple[Model, Reason], ...]) -> None:
-        for model, reason in set(stuck) - self._stuck:
+    def _log_unplaced(self, unplaced: tuple[tuple[Model, Reason], ...]) -> None:
+        for model, reason in set(unplaced) - self._unplaced:
             log("model_without_room", model=model, reason=reason.value)
-        self._stuck = set(stuck)
+        self._unplaced = set(unplaced)
 
 
-def _unfinished(
-    needs: dict[Model, ModelRequirement], sites: list[PlacementTarget]
+def _repeated_loads(
+    needs: dict[Model, ModelRequirement], targets: list[PlacementTarget]
 ) -> list[Move]:
     """Return loads that a sidecar has reserved for; they may have been lost."""
     return [
-        Move(True, model, site.upstream, placed.revision, Reason.UNREACHABLE)
-        for site in sites
-        if site.accepting
-        for model, placed in site.copies.items()
+        Move(True, model, target.upstream, placed.revision, Reason.UNREACHABLE)
+        for target in targets
+        if target.accepting
+        for model, placed in target.copies.items()
         if placed.phase is CopyPhase.LOADING and model in needs
     ]
 
 
-def _under_way(
-    sites: list[PlacementTarget], adapters: frozenset[Model]
+def _count_loads(
+    targets: list[PlacementTarget], adapters: frozenset[Model]
 ) -> tuple[int, int]:
     loading = [
         model
-        for site in sites
-        for model, placed in site.copies.items()
+        for target in targets
+        for model, placed in target.copies.items()
         if placed.phase is CopyPhase.LOADING
     ]
-    lora = sum(model in adapters for model in loading)
-    return len(loading) - lora, lora
+    adapter_loads = sum(model in adapters for model in loading)
+    return len(loading) - adapter_loads, adapter_loads
--- a/src/persimmonhitch/play/placement_scale.py
+++ b/src/persimmonhitch/play/placement_scale.py
@@ -8,7 +8,7 @@
 from ..entry.directory import SidecarInfo
 from ..ids import Epoch, Incarnation, Model, Region, Service, Upstream, Vm, Zone
 from ..planner.fleet import FleetView
-from ..planner.round import Rounds
+from ..planner.round import RoundPlanner
 from ..wire.codec import encode
 from ..wire.messages import UpstreamKind
 from ..wire.placement import Copy, CopyState, CopyStatus, Inventory
@@ -108,18 +108,18 @@
     """Print what the view of the fleet costs at several sizes."""
     print("| upstreams | MiB | bytes of holdings | ms to take all | ms for sites |")
     print("| --- | --- | --- | --- | --- |")
-    rounds = Rounds(SPEED, LoadPacer(1.0, 1, 1))
+    rounds = RoundPlanner(SPEED, LoadPacer(1.0, 1, 1))
     for models, engines in SIZES:
         fleet = FleetView()
         first = [_holdings(index, models) for index in range(engines)]
         fleet.set_sidecars({msg.upstream: _info(msg) for msg in first})
         start = time.perf_counter()
         for msg in first:
-            fleet.heard(msg, 0.0)
+            fleet.receive_inventory(msg, 0.0)
         taken = 1000.0 * (time.perf_counter() - start)
         start = time.perf_counter()
         asked = fleet.demand(Epoch(7))
-        fleet.sites(Epoch(7), {}, 0.0)
+        fleet.targets(Epoch(7), {}, 0.0)
         seen = 1000.0 * (time.perf_counter() - start)
         rounds.counts.smooth(asked, 0.0)
         size = len(encode(first[0]))
--- a/tests/test_direct_lease.py
+++ b/tests/test_direct_lease.py
@@ -35,23 +35,23 @@
     clock, _store, first, second = keepers()
     first.step()
     second.step()
-    epoch = first.resign()
+    epoch = first.abandon()
     assert first.epoch() is None
-    second.hear_resigned(A, epoch)
+    second.receive_release(A, epoch)
     clock.now += 0.1
     second.step()
     assert second.epoch() == epoch + 1
-    assert second.before.vm == A
+    assert second.predecessor.vm == A
 
 
 def test_released_epoch_is_not_reused():
     clock, _store, first, second = keepers()
     first.step()
-    epoch = first.resign()
+    epoch = first.abandon()
     clock.now += 0.1
     first.step()
     assert first.epoch() == epoch + 1
-    second.hear_resigned(A, epoch)
+    second.receive_release(A, epoch)
     second.step()
     assert second.epoch() is None
 
@@ -62,8 +62,8 @@
     """
     clock, _store, first, second = keepers()
     first.step()
-    version, age = first.renewal()
-    second.hear_renewal(version, age)
+    version, age = first.last_renewal()
+    second.receive_renewal(version, age)
     clock.now += 1.6
     second.step()
     assert second.epoch() == 2
@@ -93,8 +93,8 @@
     restarted = LeaseKeeper(store, "orders", A, Incarnation("new"), 1.5, clock)
     restarted.step()
     assert restarted.epoch() == 2
-    assert restarted.before.vm == A
-    assert restarted.before.held_for < GUARD_S
+    assert restarted.predecessor.vm == A
+    assert restarted.predecessor.held_s < GUARD_S
 
 
 def test_released_lease_names_its_predecessor():
@@ -106,13 +106,13 @@
     first.release()
     second.step()
     assert second.epoch() == 2
-    assert second.before.vm == A
+    assert second.predecessor.vm == A
 
 
 def test_first_lease_has_no_predecessor():
     _clock, _store, first, _second = keepers()
     first.step()
-    assert first.before is None
+    assert first.predecessor is None
 
 
 def predecessor(vm, held_for=0.0):
--- a/tests/test_planner_golden.py
+++ b/tests/test_planner_golden.py
@@ -28,7 +28,7 @@
     return f"[plan desk]\n{desk}models = {names}\nservices =\n" + "".join(sections)
 
 
-class Placed:
+class PlacementFleet:
     """A fleet with models that nobody has loaded yet."""
 
     def __init__(self, fleet):
@@ -40,7 +40,7 @@
             fleet.standin(name, "engine", *ENGINE)
         fleet.record_urls("port", "store", "engine-1", "engine-2")
         fleet.entry("entry")
-        self.sidecars()
+        self.start_sidecars()
         fleet.apply_lists(ACCOUNTS, plans(self.models))
         fleet.issue_key("fretes")
         fleet.record_urls("http", "entry")
@@ -48,7 +48,7 @@
         wait_for(lambda: "event=lease_taken" in self.log("planner-1"), "the lease")
         fleet.planner("planner-2")
 
-    def sidecars(self, *names):
+    def start_sidecars(self, *names):
         for name in names or ("e1", "e2"):
             self.fleet.sidecar(name, f"engine-{name[1]}", "engine", memory=ORDERS)
 
@@ -68,7 +68,7 @@
                 "POST", self.fleet.urls[name] + "/faults", json=faults
             )
 
-    def held(self, *names):
+    def resident(self, *names):
         return [
             (item["id"], item["revision"])
             for name in names or ("engine-1", "engine-2")
@@ -76,17 +76,17 @@
         ]
 
     def engine_of(self, model):
-        one = model in [name for name, _ in self.held("engine-1")]
-        return "engine-1" if one else "engine-2"
+        on_first = model in [name for name, _ in self.resident("engine-1")]
+        return "engine-1" if on_first else "engine-2"
 
-    def replies(self):
+    def statuses(self):
         return [
             self.fleet.chat("entry", "fretes", "a", 1, model=model).status
             for model in [*self.models, ADAPTER]
         ]
 
     def all_answer(self):
-        wait_for(lambda: set(self.replies()) == {200}, "an answer of every model")
+        wait_for(lambda: set(self.statuses()) == {200}, "an answer of every model")
         return "yes"
 
     def restart_engine(self, name):
@@ -111,7 +111,7 @@
 @pytest.fixture
 def placed(tmp_path):
     with Fleet(tmp_path) as fleet:
-        yield Placed(fleet)
+        yield PlacementFleet(fleet)
 
 
 def test_session_of_orders_under_failure(placed):
@@ -125,17 +125,17 @@
         "three models and an adapter on empty engines, all answer:", placed.all_answer()
     )
 
-    victim = placed.engine_of("m-a")
-    placed.fleet.processes[victim].kill()
+    killed = placed.engine_of("m-a")
+    placed.fleet.processes[killed].kill()
     session.add("an engine killed and none in its place:", placed.all_answer())
-    placed.start_engine(victim)
+    placed.start_engine(killed)
 
     placed.faults(late=1, late_by=0.8)
     placed.add("m-d")
     wait_for(lambda: "m-d" in placed.log("planner-1"), "the order for m-d")
     for name in ("e1", "e2"):
         placed.fleet.processes[f"sidecar-{name}"].kill()
-    placed.sidecars()
+    placed.start_sidecars()
     session.add("sidecars killed amid a late load, all answer:", placed.all_answer())
     session.add("an engine had more than its memory:", placed.memory())
 
@@ -146,7 +146,7 @@
 
     placed.add("m-a", "r2")
     old = ("m-a", "r1")
-    wait_for(lambda: old not in placed.held(), "the old revision to go")
+    wait_for(lambda: old not in placed.resident(), "the old revision to go")
     session.add("revision changed, all answer:", placed.all_answer())
 
     placed.fleet.set_faults(down=True)
@@ -163,19 +163,19 @@
     frozen.signal(signal.SIGSTOP)
     wait_for(lambda: placed.lease()["epoch"] == 3, "the next holder")
     session.add("holder frozen past its lease, epoch:", placed.lease()["epoch"])
-    lapses = placed.log(name).count("event=lease_lapsed")
+    before = placed.log(name).count("event=lease_lapsed")
     sent = placed.log(name).count("event=order_sent")
     frozen.signal(signal.SIGCONT)
-    wait_for(lambda: placed.log(name).count("event=lease_lapsed") > lapses, "the lapse")
+    wait_for(lambda: placed.log(name).count("event=lease_lapsed") > before, "the lapse")
     session.add("an engine had more than its memory:", placed.memory())
     for engine in ("engine-1", "engine-2"):
         placed.restart_engine(engine)
     session.add("both engines replaced after it, all answer:", placed.all_answer())
-    more = placed.log(name).count("event=order_sent") - sent
-    session.add("orders of the thawed planner:", more)
+    new_orders = placed.log(name).count("event=order_sent") - sent
+    session.add("orders of the thawed planner:", new_orders)
 
-    leaver = placed.fleet.processes[placed.lease()["holder"]]
-    session.add("holder asked to stop, exits with", leaver.stop())
+    leader = placed.fleet.processes[placed.lease()["holder"]]
+    session.add("holder asked to stop, exits with", leader.stop())
     wait_for(lambda: placed.lease()["epoch"] == 4, "the next holder")
     session.add("next holder at once, epoch:", placed.lease()["epoch"])
     session.add("an engine had more than its memory:", placed.memory())
--- a/tests/test_store_restored.py
+++ b/tests/test_store_restored.py
@@ -206,7 +206,7 @@
         client, eras = store.client(), store.eras[-1]
         era = lambda: eras.current  # noqa: E731
         keeper = LeaseKeeper(client, "orders", vm, run_id, LEASE_S, self.clock, era)
-        eras.on_change(lambda _era: keeper.store_restored())
+        eras.on_change(lambda _era: keeper.handle_store_restore())
         return keeper
 
     def pass_lease_from_b_to_a(self):
@@ -224,7 +224,7 @@
     keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
-    keepers.a.store_restored()
+    keepers.a.handle_store_restore()
     assert keepers.a.epoch() is None
     keepers.a.step()
     assert keepers.a.epoch() > 2
@@ -255,7 +255,7 @@
     empty = keepers.state.copy()
     keepers.a.step()
     keepers.state.restore(empty)
-    keepers.b.store_restored()
+    keepers.b.handle_store_restore()
     keepers.b.step()
     assert keepers.b.epoch() is None
     keepers.a.step()
@@ -280,10 +280,10 @@
     keepers = LeaseKeepers(store)
     copy = keepers.pass_lease_from_b_to_a()
     keepers.state.restore(copy)
-    keepers.a.store_restored()
+    keepers.a.handle_store_restore()
     keepers.a.step()
-    epoch = keepers.a.resign()
-    keepers.b.hear_resigned(A, epoch)
+    epoch = keepers.a.abandon()
+    keepers.b.receive_release(A, epoch)
     keepers.b.step()
     keepers.b.step()
     assert keepers.b.epoch() == epoch + 1
