--- a/src/persimmonhitch/direct/abort.py
+++ b/src/persimmonhitch/direct/abort.py
@@ -22,7 +22,7 @@
 
 
 class Abort:
-    """Abort handle of a request; the action unblocks the thread that serves it."""
+    """Abort handle of a request; its action unblocks the serving thread."""
 
     def __init__(self, caller_left: Callable[[], bool], deadline_at: float) -> None:
         self.caller_left = caller_left
--- a/src/persimmonhitch/direct/admit.py
+++ b/src/persimmonhitch/direct/admit.py
@@ -18,7 +18,7 @@
 from ..web import Request
 
 DEFAULT_TIMEOUT_S = 600.0
-"""Timeout of requests that state no deadline; the route's timeout ends them sooner."""
+"""Timeout of requests that state no deadline; routes may have a shorter one."""
 
 MIN_EVENT_WAIT_S: Final = 2.0
 LATENCY_TARGET_FACTOR: Final = 4.0
@@ -56,7 +56,7 @@
     active: ActiveConfig,
     clock: Callable[[], float] = time.monotonic,
 ) -> Result[Admitted, Failure]:
-    """Return the admitted request, or the failure that rejects it."""
+    """Return the admitted request, or a failure if the request is rejected."""
     if not active.cfg.version:
         reason = "no configuration is in force here yet"
         return Err(Failure(ErrorCode.STORE_UNAVAILABLE, reason, retry_after=0.5))
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a request at upstreams, repeated as its call kind permits."""
+"""Attempts of a request at upstreams, repeated as its route permits."""
 
 import time
 from collections.abc import Callable
@@ -24,8 +24,8 @@
 from .upstream_limits import UpstreamLimits
 
 MAX_REFUSALS: Final = 3
-"""Refusals by upstreams before the caller gets a refusal; each further attempt uses
-the retry budget and the caller's time."""
+"""Maximum refusals by upstreams after which a request is still sent again; each attempt
+uses the retry budget and the caller's time."""
 SERVER_ERROR_STATUS: Final = 500
 
 
@@ -64,7 +64,7 @@
     def resume(
         self, request: InFlightRequest, failure: Failure, last_event_id: str | None
     ) -> Result[Reply, Failure]:
-        """Return the answer of a new attempt that continues after the last event."""
+        """Return the answer of a new attempt that continues after ``last_event_id``."""
         request.release()
         route = request.admitted.route
         allowed = (
@@ -275,8 +275,8 @@
     def _report_loss(self, request: InFlightRequest, record: UpstreamRecord) -> None:
         """Report that a request may have crashed its upstream.
 
-        A request whose stream has run for a while is no suspect. A missing head proves
-        nothing, as it may be lost with the upstream.
+        A stream that has run for more than ``RECENT_START_S`` makes no suspect. A
+        stream without a head counts as recent: the head may be lost with the upstream.
         """
         is_stream = request.admitted.route.kind is RouteKind.STREAM
         elapsed = 0.0 if request.head_at is None else self._clock() - request.head_at
--- a/src/persimmonhitch/direct/blocked_requests.py
+++ b/src/persimmonhitch/direct/blocked_requests.py
@@ -1,4 +1,4 @@
-"""Blocked requests in the store, for entries that start or receive no updates."""
+"""Stores blocked requests, for entries that start later or receive no updates."""
 
 import threading
 import time
@@ -14,9 +14,9 @@
 from .poison import PoisonGuard
 
 POLL_INTERVAL_S: Final = 0.2
-"""Interval of comparisons between this entry and the store."""
+"""Interval at which blocked requests are compared with those in the store."""
 WRITE_STAGGER_S: Final = 0.6
-"""Delay per entry of higher rank, so that usually a single entry writes."""
+"""Delay per entry that writes before this one; usually a single entry then writes."""
 UNTIL_KEY: Final = "until"
 """Field of a stored object: Unix time in seconds at which the block ends."""
 
@@ -80,7 +80,7 @@
                 log("blocked_calls_failed", error=repr(exc))
 
     def sync(self) -> None:
-        """Write missing blocks and remove expired ones, in order of rank."""
+        """Write missing blocks, delayed by rank; rank 0 also removes expired blocks."""
         if not self._has_listing:
             return
         now = self._clock()
--- a/src/persimmonhitch/direct/broadcast.py
+++ b/src/persimmonhitch/direct/broadcast.py
@@ -17,12 +17,12 @@
 FLUSH_INTERVAL_S: Final = 0.1
 """Minimum interval between two batches to a neighbour."""
 URGENT_FLUSH_INTERVAL_S: Final = 0.03
-"""Minimum interval while callers wait for a message in the queue."""
+"""Minimum interval between two batches while callers wait for a queued message."""
 HEARTBEAT_INTERVAL_S: Final = 0.2
-"""Interval of batches that are sent even without a message."""
+"""Interval of batches that are sent even if no message is queued."""
 
 Handler = Callable[[Vm, Any, float], None]
-"""Receives the origin, the message and the monotonic time as of which it holds."""
+"""Receives the origin, the message and the monotonic time at which it was published."""
 SendFrame = Callable[[Vm, bytes], bool]
 
 
@@ -38,16 +38,18 @@
 
 @dataclass
 class _Origin:
-    """The newest message received from an origin."""
+    """The newest incarnation and sequence number received from an origin."""
 
     incarnation: Incarnation
     sequence: int
     ended: frozenset[Incarnation] = frozenset()
-    """Earlier processes on that VM."""
+    """Incarnations of earlier processes on the same VM."""
 
 
 class Broadcast:
-    """Broadcasts messages; each one reaches its handler once, in order per origin.
+    """Broadcasts messages to all entries.
+
+    Handlers receive each message at most once, and those of one origin in order.
 
     Parameters
     ----------
@@ -88,10 +90,10 @@
         self._handlers[message_type] = handler
 
     def publish(self, msg: Any, urgent: bool = False) -> None:
-        """Queue a message to all other entries for the next flush.
+        """Queue a message for all other entries until the next flush.
 
-        ``urgent`` shortens the interval to that flush, for messages that callers wait
-        for.
+        ``urgent`` shortens the interval to that flush, for messages that block
+        callers.
         """
         body = encode(msg)
         now = self._clock()
@@ -140,7 +142,7 @@
     def _deliver(self, item: BroadcastItem, as_of: float) -> None:
         result = decode(item.body)
         if not isinstance(result, Success):
-            # A newer version of the program may send unknown message types.
+            # Entries of a newer version may send unknown message types.
             log("news_unreadable", origin=item.origin, error=result.failure())
             return
         msg = result.unwrap()
--- a/src/persimmonhitch/direct/connection_pool.py
+++ b/src/persimmonhitch/direct/connection_pool.py
@@ -14,15 +14,15 @@
 from urllib3.util.wait import wait_for_read
 
 CONNECT_TIMEOUT_S: Final = 0.6
-"""Some hundred round trips between two availability zones. A VM without power never
-answers, and its callers must reach another upstream before their deadline."""
+"""Several hundred round trips between two availability zones. A VM without power never
+answers, and callers must reach another upstream before their deadline."""
 MAX_IDLE_S: Final = 8.0
 """Maximum idle time of a connection if the upstream states no limit."""
 IDLE_MARGIN_S: Final = 0.5
 """Time before the upstream's own limit at which an idle connection expires: a request
 sent while the upstream closes the connection is lost, and may have been executed."""
 MAX_IDLE_CONNS: Final = 32
-"""Maximum idle connections per upstream; any excess is closed at once."""
+"""Maximum idle connections per upstream; further connections are closed at once."""
 MAX_UNACKED_MS: Final = 2000
 """Time without a TCP acknowledgement after which a connection is dead."""
 
@@ -52,8 +52,8 @@
             if idle is None:
                 return None
             now = self._clock()
-            # Readable data on an idle connection is a close or a surplus answer, which
-            # the next caller would receive as its own.
+            # An idle connection is readable after a close or an unexpected answer; the
+            # next caller would receive this answer in place of its own.
             if now < idle.expires_at and not _readable(idle.conn):
                 if now - idle.idle_since <= max_idle_s:
                     return idle.conn
@@ -70,15 +70,18 @@
         sock = conn.sock
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with contextlib.suppress(OSError):
-            # Otherwise an upstream without power blocks the thread up to the deadline
-            # of its request, and the dead connection returns to the pool.
+            # Without this timeout, a VM that lost power would block the thread up to
+            # the deadline of its request, and the pool would reuse the connection.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKED_MS)
         return conn
 
     def release(
         self, address: Address, conn: HTTPConnection, idle_limit: float | None
     ) -> None:
-        """Return a connection to the pool after its answer was read completely."""
+        """Return a connection to the pool after its answer was read completely.
+
+        ``idle_limit`` is the idle time in seconds after which the upstream closes it.
+        """
         max_idle = MAX_IDLE_S if idle_limit is None else idle_limit - IDLE_MARGIN_S
         now = self._clock()
         with self._lock:
--- a/src/persimmonhitch/direct/crash_checks.py
+++ b/src/persimmonhitch/direct/crash_checks.py
@@ -13,7 +13,7 @@
 
 
 class CrashChecks:
-    """Connects once to each upstream that lost requests, on a separate thread."""
+    """Connects to each upstream that lost requests, once per suspected crash."""
 
     def __init__(self, guard: PoisonGuard, conns: ConnectionPool) -> None:
         self._guard = guard
@@ -42,5 +42,5 @@
             self._guard.unreachable(record)
         else:
             # The process is alive or was restarted; its answers or its registration
-            # record distinguish the two.
+            # record distinguish the two cases.
             self._conns.release(address, conn, None)
--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -37,7 +37,7 @@
 RESEND_INTERVAL_S = 0.25
 """Interval between load requests for a model or adapter that is still missing.
 
-A lost message has no other symptom; an adapter load takes a tenth of the interval."""
+The sender can't detect a lost message; an adapter load takes a tenth of this time."""
 
 
 @dataclass(eq=False)
@@ -50,7 +50,7 @@
     failure: Failure | None = None
     last_choice: Choice = Choice(Step.WAIT)
     limited_by: frozenset[Upstream] = frozenset()
-    """All capable upstreams if every one is at its request limit, else empty."""
+    """All capable upstreams if each of them is at its request limit, else empty."""
 
     def sort_key(self) -> tuple[int, float]:
         return self.request.rank, self.request.arrived
@@ -127,7 +127,7 @@
         abort: Abort,
         excluded: frozenset[Upstream] = frozenset(),
     ) -> Result[Permit, Failure]:
-        """Wait for a slot; return its permit, or a failure if none is free in time."""
+        """Wait for a slot; return a permit, or a failure if no slot is free in time."""
         now = self._clock()
         waiter = _Waiter(request, excluded, wait_deadline(request))
         with self._lock:
@@ -176,7 +176,7 @@
         waiter.decided.set()
 
     def record_demand(self, model: Model, tokens: float) -> None:
-        """Add requested tokens of a model to its demand, also if the request fails."""
+        """Add the tokens of a request to the demand for its model, even if it fails."""
         with self._lock:
             self._demand[model] = self._demand.get(model, 0.0) + tokens
 
@@ -187,7 +187,7 @@
         sent_at: float,
         unread: int,
     ) -> None:
-        """Count a first token, which marks the prompt of its request as processed."""
+        """Record the first token of a request, which ends its prompt processing."""
         with self._lock:
             self._table.record_first_token(
                 record.name, request, self._clock() - sent_at, unread
@@ -203,7 +203,7 @@
             self._match_waiters(record)
 
     def close(self, failure: Failure) -> None:
-        """Refuse waiting and new requests while they can still reach another entry."""
+        """Refuse waiting and new requests while callers can still try another entry."""
         with self._lock:
             self._closing = failure
             for waiter in self._waiters:
@@ -213,7 +213,7 @@
     def _match_waiters(self, freed: UpstreamRecord | None = None) -> None:
         """Assign free slots to waiting requests in order of rank and arrival.
 
-        If only ``freed`` has gained a slot, skip requests that can't run there.
+        If given, ``freed`` alone has gained a slot; requests that can't run there wait.
         """
         for waiter in sorted(self._waiters, key=_Waiter.sort_key):
             if waiter.decided.is_set():
@@ -348,7 +348,7 @@
             state.last_activity_at = self._clock()
 
     def entry_update(self) -> EntryUpdate:
-        """Return this entry's work as an update for peers, without its usage."""
+        """Return this entry's demand and work for peers, without its token usage."""
         with self._lock:
             return EntryUpdate({}, dict(self._demand), self._table.own_work())
 
@@ -358,7 +358,7 @@
             return self._table.solo_read_rate(service)
 
     def tick(self) -> None:
-        """Match waiting requests again: upstream health recovers over time."""
+        """Expire old state and match waiting requests: upstream health recovers."""
         now = self._clock()
         with self._lock:
             items = self._requested.items()
--- a/src/persimmonhitch/direct/engine_client.py
+++ b/src/persimmonhitch/direct/engine_client.py
@@ -34,7 +34,7 @@
     LIMITED = "limited"
     """Not sent, since the request limit of the engine is reached."""
     UNKNOWN = "unknown"
-    """No answer: the order may still be executed, now or seconds later."""
+    """No answer: the engine may have executed the order, or may do so seconds later."""
 
 
 OUTCOME_BY_STATUS: Final = {
@@ -56,7 +56,7 @@
 
 
 class EngineClient:
-    """Calls engines on behalf of the leader."""
+    """Sends orders and report requests of the leader to engines."""
 
     def __init__(self, vm: Vm, limits: UpstreamLimits) -> None:
         self._vm = vm
@@ -86,7 +86,7 @@
         return OUTCOME_BY_STATUS.get(answer.status, OrderOutcome.UNKNOWN)
 
     def get_report(self, record: UpstreamRecord) -> Result[EngineInventory, str]:
-        """Return an engine's inventory, some hundred ms old, or an error text."""
+        """Return an engine's inventory as of some hundred ms ago, or an error text."""
         if not self._limits.acquire_report_slot(record):
             return Err("request limit reached")
         url = f"http://{record.host}:{record.port}{names.REPORT_PATH}"
--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -21,17 +21,17 @@
 MAX_CONCURRENT_ADAPTER_LOADS: Final = 4
 """Adapters that an engine loads concurrently, as its interface specifies."""
 REPORT_LAG_S: Final = 0.15
-"""Seconds by which reports lag; an earlier report shows the state before an order."""
+"""Seconds by which reports lag; one read earlier shows the state before an order."""
 POLL_INTERVAL_S: Final = 0.1
 """Seconds between two report requests for a load that is overdue."""
 ORDER_TIMEOUT_S: Final = 12.0
-"""Seconds after which an order that no report confirms counts as lost; an unanswered
-order may be executed this late."""
+"""Seconds after which an order that no report confirms counts as lost; the engine
+may execute an unanswered order up to then."""
 UNKNOWN_STATE_BUSY_S: Final = 1.0
 """Seconds for which an engine with an unknown inventory counts as busy."""
 REPORT_POLL_S: Final = 0.3
 """Minimum seconds between two report requests while the inventory is unknown; a crashed
-engine does not answer."""
+engine answers none of them."""
 REPLACED_PAUSE_S: Final = 1.0
 """Seconds without orders after another instance answered at the engine's address."""
 MAX_ATTEMPTS: Final = 3
@@ -40,15 +40,15 @@
 """Seconds between two attempts of a load order that an unfinished unload blocks."""
 MAX_CONFLICT_ATTEMPTS: Final = 5
 LOAD_MARGIN_S: Final = 0.03
-"""Seconds added to the expected time of a load from memory or disk before the model is
-published as resident; requests would have to wait some hundred ms for a report."""
+"""Seconds added to the expected time of a load from memory or disk; then the model is
+published as resident, some hundred ms before a report confirms the load."""
 ADAPTER_WINDOW_S: Final = 0.5
 """Minimum seconds between two model loads of an engine. An engine accepts no adapter
 orders during a model load; without a pause, consecutive loads would cause refusals of
 all requests for adapters that are not loaded."""
 UNLOAD_DELAY_S: Final = 0.03
-"""Seconds between the broadcast of an eviction and the unload order; the engine would
-refuse requests for the model that are already in transit."""
+"""Seconds between the broadcast of an eviction and the unload order; without them,
+the engine would refuse requests for the model that are already in transit."""
 
 Clock = Callable[[], float]
 
@@ -96,9 +96,9 @@
 class EngineController:
     """Sends orders to a single engine, one after the other, each with a precondition.
 
-    Every order carries the number of orders that the engine must have executed before
-    it. If another order came in between, or an earlier one arrived late, the engine
-    refuses the new order. So nothing is loaded into memory that is already in use.
+    Every order states how many orders the engine must have accepted before. If the
+    engine has accepted another order since, or an earlier order arrives late, the count
+    differs and the engine refuses the order. This prevents loads into memory in use.
     """
 
     def __init__(
@@ -120,9 +120,9 @@
         self._clock = clock
         self._sleep = sleep
         self.orders_allowed_at = 0.0
-        """No orders before this time: another entry's last order may be too recent."""
+        """Time before which no orders are sent: another entry may have sent one."""
         self.loads_allowed_at = 0.0
-        """No model loads before this time, so that adapters can be loaded."""
+        """Time before which no models are loaded, so that adapters can be loaded."""
         self.last_order_at: float | None = None
         self.polled_at: float | None = None
 
@@ -272,7 +272,7 @@
             return True
         if outcome is OrderOutcome.ACCEPTED:
             # Unreported requests use the adapter, e.g. those of a disconnected entry.
-            # Its slot is released when they have ended.
+            # The engine frees the slot when these requests have ended.
             return False
         self.engine.unloading.discard((model, adapter))
         return self._resync(outcome)
@@ -405,7 +405,7 @@
                     return False
                 if not in_use:
                     # The unload takes effect immediately. If an unreported request
-                    # still uses the model, the engine refuses orders until its end.
+                    # still uses the model, the engine refuses orders until it ends.
                     self._remove_model(model)
                     return True
             return self._wait_for_report(lambda report: model not in report.models, 0.0)
@@ -443,7 +443,7 @@
             inventory = self.engine.inventory
             if inventory is None:
                 return False
-            # A report that predates the last order does not show its effect.
+            # A report from before the last order does not show the order's effect.
             if (
                 report.order_count < inventory.order_count
                 or report.busy
--- a/src/persimmonhitch/direct/events.py
+++ b/src/persimmonhitch/direct/events.py
@@ -8,7 +8,7 @@
 EVENT_END: Final = re.compile(rb"\r?\n\r?\n")
 ID_LINE: Final = re.compile(rb"^id:[ ]?(.*?)\r?$", re.M)
 MAX_EVENT_BYTES: Final = 1024 * 1024
-"""Maximum size of an event; an unterminated one would exhaust the memory."""
+"""Maximum size of an event; an unterminated event would exhaust the memory."""
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
     """Buffers chunks of a stream and yields complete events.
 
     A crashing upstream truncates its stream within an event. A caller that received the
-    first half would parse it and the first event of the resumed stream as one event.
+    fragment would parse it and the first event of the resumed stream as one event.
     """
 
     def __init__(self) -> None:
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -24,7 +24,7 @@
 MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
 """Maximum size of an answer; answers of plain services are smaller."""
 RETRY_AFTER: Final = 0.3
-"""Retry time for callers: within the time of a short answer a slot becomes free."""
+"""Retry time for callers in seconds; short answers end and free a slot within it."""
 MAX_IDLE_UNREPEATABLE_S: Final = 1.0
 """Maximum idle time of a connection used for a request that must not be repeated.
 
@@ -49,7 +49,7 @@
 
 @dataclass
 class Reply:
-    """An answer whose head was received and whose body is yet to be read."""
+    """An answer whose head has been received but whose body is still unread."""
 
     status: int
     headers: dict[str, str]
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -190,14 +190,14 @@
         raise StreamInterrupted(failure.message)
 
     def stream_closed(self, request: InFlightRequest) -> None:
-        """Settle a stream closed by the server, unless it has been settled already."""
+        """Settle a stream that the server has closed, unless already settled."""
         if request.reply is not None:
             request.reply.close()
         self._tracker.settle(request, CALLER_LEFT, CALLER_LEFT_STATUS)
 
 
 class StreamInterrupted(Exception):
-    """Raised for a stream without its last event; the server drops the connection."""
+    """Raised if a stream is lost before its end; the server closes the connection."""
 
 
 class _StreamBody:
--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -59,7 +59,7 @@
 
 
 class RequestTracker:
-    """Tracks requests; at their end settles tokens, slot, metrics and log entry."""
+    """Tracks requests; at the end of each, settles tokens, slot, metrics and log."""
 
     def __init__(
         self,
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -40,7 +40,7 @@
 LastOrderTimes = Callable[[], Mapping[Upstream, float]]
 
 ROUND_INTERVAL_S: Final = 0.1
-"""Seconds between two placement rounds without a load request."""
+"""Seconds between two placement rounds if no load request triggers one earlier."""
 MIN_ROUND_INTERVAL_S: Final = 0.05
 """Minimum seconds between two rounds; many models may be missing at once, and every
 entry sends a load request for each."""
@@ -98,7 +98,7 @@
         self._drain_time = DrainEstimate()
         self._active = False
         self._refreshing: set[Upstream] = set()
-        # Models that were resident on each engine when first seen.
+        # Models of each engine in the first round in which it had any.
         self._home_models: dict[Upstream, frozenset[Model]] = {}
         self._staged: set[Upstream] = set()
         """Engines that have loaded an uncached model while idle. Each engine does so
@@ -162,7 +162,7 @@
             self._demand.receive(vm, msg.demand, now)
 
     def receive_load_request(self, vm: Vm, msg: LoadRequest) -> None:
-        """Load a model or an adapter that an entry has requests for.
+        """Load a model or adapter on request of an entry.
 
         A missing model triggers a placement round; an adapter is loaded right away.
         """
--- a/src/persimmonhitch/direct/leader_election.py
+++ b/src/persimmonhitch/direct/leader_election.py
@@ -20,8 +20,8 @@
 )
 
 LEADER_TTL_S: Final = 1.1
-"""Seconds without a message from the leader after which its lease is checked; by then
-two broadcasts are missing."""
+"""Seconds without a message from the leader after which an entry reads the lease in the
+store; by then two broadcasts are overdue."""
 PROBE_TTL_S: Final = 1.5
 """Seconds for which a peer's report that the store is unavailable is valid; the peer
 probes the store three times in that period."""
@@ -52,7 +52,7 @@
 class LeaderElection:
     """Acquires, renews and releases the lease.
 
-    A holder that cannot reach the store releases the lease if another entry can.
+    A leader that cannot reach the store releases the lease if a peer can reach it.
 
     Parameters
     ----------
@@ -155,12 +155,12 @@
         try:
             self._step()
         except Exception as exc:
-            # The thread must survive, or this entry would never renew or acquire again.
+            # The thread must survive, or this entry would never hold a lease again.
             log("lease_step_failed", error=repr(exc))
 
     def _step(self) -> None:
         # The leader's broadcasts prove that the leader is alive. Without this check,
-        # most calls to the store would be other entries' polls of the lease.
+        # most calls to the store would be polls of the lease by other entries.
         leader_age = self._clock() - self._leader_seen_at
         if self._lease.epoch() is None and leader_age <= LEADER_TTL_S + self._backoff():
             return
@@ -215,7 +215,7 @@
         self._step_due.set()
 
     def receive_renewal(self, msg: LeaseRenewed, sent_at: float) -> None:
-        """Record the time of a renewal that the leader reported at ``sent_at``."""
+        """Record a renewal of the lease that the leader reported at ``sent_at``."""
         delay = max(0.0, self._clock() - sent_at)
         self._lease.receive_renewal(Version(msg.version), msg.age_s + delay)
 
--- a/src/persimmonhitch/direct/local_work.py
+++ b/src/persimmonhitch/direct/local_work.py
@@ -9,7 +9,7 @@
 
 @dataclass
 class LocalWork:
-    """Running requests of this entry at one upstream, in numbers."""
+    """Counts of this entry's running requests at one upstream."""
 
     requests: int = 0
     kv_tokens: int = 0
@@ -18,10 +18,10 @@
     model_counts: dict[tuple[Model, Adapter | None], int] = field(default_factory=dict)
     """Number of requests per model and adapter."""
     busy_since: float = 0.0
-    """When the upstream last went from idle to having a request, monotonic seconds."""
+    """Monotonic time since which at least one of the requests has been running."""
 
     def start(self, request: DispatchRequest, now: float) -> None:
-        """Add a request that is sent."""
+        """Count a request that is sent."""
         if not self.requests:
             self.busy_since = now
         self.requests += 1
@@ -32,7 +32,7 @@
             self.model_counts[key] = self.model_counts.get(key, 0) + 1
 
     def finish(self, request: DispatchRequest, prefill_done: bool) -> None:
-        """Remove a request that has ended."""
+        """Discount a request that has ended."""
         self.requests -= 1
         self.kv_tokens -= request.kv_tokens
         if not prefill_done:
@@ -44,7 +44,7 @@
                 del self.model_counts[key]
 
     def to_message(self, upstream: Upstream) -> UpstreamWork:
-        """Return the work as it is sent to peers."""
+        """Return these counts as a message for peers."""
         uses = tuple(ModelUse(model, adapter) for model, adapter in self.model_counts)
         prefill = max(0, self.prefill_tokens)
         return UpstreamWork(upstream, self.requests, self.kv_tokens, prefill, uses)
--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -357,7 +357,7 @@
             self.broadcast.publish(msg)
 
     def _request_limit(self, msg: LimitRequest) -> None:
-        """Request a slot at an upstream; unanswered while there is no leader."""
+        """Request a grant at an upstream; without a leader, no reply arrives."""
         if self.election.epoch() is not None:
             self.limits.receive_grant(self.limits.grant(self.vm, msg))
         elif self.leader_vm is not None:
--- a/src/persimmonhitch/direct/order_history.py
+++ b/src/persimmonhitch/direct/order_history.py
@@ -59,7 +59,7 @@
         Parameters
         ----------
         leading_since : float
-            Time at which the lease was acquired.
+            Time at which this entry acquired the lease.
         predecessor : Predecessor or None
             Previous holder of the lease, if any.
         ended : bool
@@ -82,8 +82,8 @@
         """Return the time from which this history covers all orders within the guard.
 
         A newly started process has received no reports of earlier orders, even if their
-        sender released the lease properly. In a rolling restart of all entries it would
-        otherwise send orders right after the previous leader.
+        sender released the lease properly. In a rolling restart of all entries, such a
+        process would otherwise send orders right after the previous leader.
         """
         if predecessor.vm == self._vm and predecessor.held_s >= self._guard_s:
             # Only the previous process on this VM sent orders within the guard time.
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -73,7 +73,7 @@
     upstream: Upstream
     started_at_ms: int
     order_count: int
-    """Orders that the engine has accepted since its start."""
+    """Number of orders that the engine has accepted since its start."""
     models: dict[Model, tuple[Adapter, ...]]
     loading: dict[Model, float]
     """Models that are loading, with the seconds remaining."""
@@ -149,11 +149,11 @@
     upstream: Upstream
     started_at_ms: int
     age_ms: int
-    """Time since the newest loss."""
+    """Time since the newest loss of a connection."""
     confirmed: bool
     """Whether the end of the upstream process is confirmed."""
     lost: dict[Fingerprint, bool]
-    """For each request, whether it had only just started or had not answered yet."""
+    """For each request, whether its answer started recently or was yet to start."""
 
 
 @dataclass(frozen=True)
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True)
 class Trial:
-    """Isolated run of a suspect request; ``upstream`` is None until it is sent."""
+    """Isolated run of a suspect request; ``upstream`` is None before."""
 
     fingerprint: Fingerprint
     upstream: Upstream | None
@@ -179,17 +179,17 @@
     """Crashes that one entry observed, and the state of the suspect requests.
 
     ``crashes``, ``alive`` and ``completed`` are resent for a while; receivers count
-    each of them once.
+    each item once.
     """
 
     crashes: tuple[CrashReport, ...]
     alive: tuple[LivenessReport, ...]
     completed: dict[Fingerprint, int]
-    """Milliseconds since suspect requests completed."""
+    """Milliseconds since each of these suspect requests completed."""
     trials: tuple[Trial, ...]
-    """All trials that run at the sender or are announced there."""
+    """All trials that the sender runs or has announced."""
     blocked: dict[Fingerprint, int]
-    """Seconds for which requests remain blocked."""
+    """Seconds for which each request remains blocked."""
 
 
 @dataclass(frozen=True)
@@ -217,7 +217,7 @@
 @message(73)
 @dataclass(frozen=True)
 class LimitUpdate:
-    """Request limits that upstreams reported to the sender, or lifted."""
+    """Request limits that upstreams reported to the sender or have lifted."""
 
     limits: tuple[ReportedLimit, ...]
 
--- a/src/persimmonhitch/direct/peer_work.py
+++ b/src/persimmonhitch/direct/peer_work.py
@@ -9,7 +9,7 @@
 
 PEER_UPDATE_TTL_S: Final = 1.5
 """Time after which the work of an unresponsive peer is dropped; long enough for updates
-to be relayed over another path when a parent has died."""
+to be relayed over another path when an overlay parent has died."""
 
 
 @dataclass
--- a/src/persimmonhitch/direct/poison.py
+++ b/src/persimmonhitch/direct/poison.py
@@ -19,9 +19,9 @@
 from .peer_messages import CrashReport, CrashUpdate, LivenessReport, Trial
 
 CHECK_DELAY_S: Final = 0.1
-"""Delay between a lost connection and the test whether the upstream accepts another."""
+"""Delay between a lost connection and an attempt to open another to the upstream."""
 RESEND_INTERVAL_S: Final = 2.0
-"""Interval of full updates, for entries that missed an incremental one."""
+"""Interval of full updates, for entries that missed an incremental update."""
 RESEND_TTL_S: Final = 60.0
 """Time for which an entry resends an observation."""
 ANNOUNCE_DURATION_S: Final = 0.25
@@ -41,7 +41,7 @@
 
     record: UpstreamRecord
     at: float
-    """When the newest connection was lost."""
+    """Time at which the newest connection was lost."""
     check_at: float
     confirmed: bool = False
     lost: dict[Fingerprint, bool] = field(default_factory=dict)
@@ -51,7 +51,7 @@
 @dataclass(frozen=True)
 class _PeerTrials:
     at: float
-    """When the update of the peer was received."""
+    """Time at which the update was received from the peer."""
     trials: tuple[Trial, ...]
 
 
@@ -59,7 +59,7 @@
 class _Announcement:
     started_at: float
     requested_at: float
-    """When an attempt last waited for the trial."""
+    """Time at which an attempt last waited for the trial."""
 
 
 def instance_of(record: UpstreamRecord) -> UpstreamInstance:
@@ -75,7 +75,7 @@
     vm : Vm
         VM of this entry.
     on_change : callable
-        Called when an update for the peers is due at once.
+        Called when peers must receive an update at once.
     is_isolated : callable
         Returns whether this entry receives no updates from any peer.
     """
@@ -100,9 +100,9 @@
         self._alive: dict[UpstreamInstance, float] = {}
         self._completed: dict[Fingerprint, float] = {}
         self._own_blocked: dict[Fingerprint, float] = {}
-        """When this entry itself blocked each of these requests."""
+        """Time at which this entry itself, not a peer, blocked each request."""
         self._unsent: set[UpstreamInstance | Fingerprint] = set()
-        """Changed instances and requests that no update has carried yet."""
+        """Changed instances and requests that the next update must include."""
         self._update_due = False
         self._full_update_at = -math.inf
         self._expired_at = -math.inf
@@ -118,7 +118,7 @@
             reason = "upstreams crashed each time that this request ran"
             return Failure(ErrorCode.CRASHES_UPSTREAMS, reason, retry_after=remaining_s)
         if is_suspected and self._is_isolated():
-            # Peers may know of more crashes; the caller's next try can reach a peer.
+            # Peers may have recorded more crashes; the caller can reach a peer next.
             reason = (
                 "an upstream crashed while this request ran; another entry may know"
             )
@@ -160,7 +160,7 @@
         return now - announcement.started_at >= ANNOUNCE_DURATION_S
 
     def trial_refusal(self, fingerprint: Fingerprint) -> Failure | None:
-        """Return the refusal of a suspect that found no upstream, None for others."""
+        """Return the refusal of a suspect that got no slot, None for other requests."""
         with self._lock:
             suspect = self._history.is_suspect(fingerprint)
         if not suspect:
@@ -193,7 +193,7 @@
     ) -> None:
         """Record that a request lost the connection to its upstream.
 
-        ``recent`` tells whether it had only just started or had not answered yet.
+        ``recent`` is whether its answer had started recently or was yet to start.
         """
         now = self._clock()
         instance = instance_of(record)
@@ -216,7 +216,7 @@
                 self._refute(instance, sent_at)
 
     def completed(self, fingerprint: Fingerprint) -> None:
-        """Record that a request ran to completion, which clears it."""
+        """Record that a request ran to completion; this ends any suspicion."""
         now = self._clock()
         with self._lock:
             if self._history.crash_counts(fingerprint) is None:
--- a/src/persimmonhitch/direct/quota.py
+++ b/src/persimmonhitch/direct/quota.py
@@ -29,7 +29,7 @@
         self._lock = threading.Lock()
         self._buckets: dict[Account, PooledBucket] = {}
         self._usage_at: dict[Vm, float] = {}
-        """Time as of which the newest usage of each peer was reported."""
+        """Monotonic time of the newest usage reported by each peer."""
 
     def update(self, cfg: FleetConfig) -> None:
         """Apply the rates of a new configuration."""
@@ -47,7 +47,7 @@
             bucket.resize(account.rate, account.burst)
 
     def spend(self, account: Account, cost: Tokens) -> float | None:
-        """Spend tokens; return None, or the seconds until enough are available."""
+        """Spend tokens; if too few are left, return the seconds until enough are."""
         now = self._clock()
         peers = self._peers()
         with self._lock:
@@ -68,7 +68,7 @@
             )
 
     def refund(self, account: Account, cost: Tokens) -> None:
-        """Return the tokens of a request that did not run."""
+        """Credit an account with the tokens of a request that did not run."""
         with self._lock:
             self._buckets[account].refund(cost)
 
@@ -83,7 +83,7 @@
         """Deduct the tokens spent at a peer since its previous update.
 
         ``tokens_used`` are totals since the start of the peer as of the monotonic time
-        ``as_of``, which is now if None.
+        ``as_of``; None means now.
         """
         now = self._clock()
         with self._lock:
--- a/src/persimmonhitch/direct/update_delta.py
+++ b/src/persimmonhitch/direct/update_delta.py
@@ -6,7 +6,7 @@
 from .peer_messages import EntryUpdate, UpstreamWork
 
 FULL_UPDATE_INTERVAL_S: Final = 2.0
-"""Seconds between two full updates, for entries that have missed some."""
+"""Seconds between two full updates, for entries that have missed an update."""
 
 
 @dataclass
@@ -17,7 +17,7 @@
     _full_at: float = 0.0
 
     def compute(self, update: EntryUpdate, now: float) -> EntryUpdate:
-        """Return the part of an update to send: its changes, or all when due."""
+        """Return the changes since the last update, or the full update when due."""
         last, self._last_update = self._last_update, update
         if last is None or now - self._full_at >= FULL_UPDATE_INTERVAL_S:
             self._full_at = now
--- a/src/persimmonhitch/direct/upstream_limits.py
+++ b/src/persimmonhitch/direct/upstream_limits.py
@@ -19,7 +19,7 @@
 from .poison import instance_of
 
 RESEND_INTERVAL_S: Final = 2.0
-"""Interval of full updates, for entries that missed an incremental one."""
+"""Interval of full updates, for entries that missed an incremental update."""
 RESEND_TTL_S: Final = 30.0
 """Time for which an entry resends a limit that an upstream reported to it."""
 RETRY_JITTER: Final = 0.5
@@ -34,11 +34,11 @@
     limit: RateLimit | None
     """None if the limit was lifted."""
     rate: float
-    """Requests a second that the fleet sends under the limit."""
+    """Requests per second that the fleet may send under the limit."""
     reported_at: float
-    """When the upstream reported the limit, in monotonic seconds."""
+    """Monotonic time at which the upstream reported the limit."""
     own_at: float
-    """When this entry last received the limit from the upstream itself."""
+    """Monotonic time at which this entry last received the limit in an answer."""
 
 
 class UpstreamLimits:
@@ -51,7 +51,7 @@
     entry_count : callable
         Returns the number of entries of the fleet.
     on_change : callable
-        Called when an update is due or waiting requests may be sent.
+        Called when peers must receive an update or waiting requests may be sent.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._entry_count = entry_count
         self._clock = clock
         self._on_change = on_change
-        # Reentrant: on the leader itself, a grant is received while it is requested.
+        # Reentrant: the leader grants its own requests while it holds this lock.
         self._lock = threading.RLock()
         self._states: dict[UpstreamInstance, _LimitState] = {}
         self._allowances: dict[Upstream, tuple[UpstreamInstance, Allowance]] = {}
@@ -202,7 +202,7 @@
     # -- the leader ----------------------------------------------------------------
 
     def grant(self, vm: Vm, msg: LimitRequest) -> LimitGrant:
-        """Answer the request of an entry for a grant, as the leader."""
+        """Reply to the grant request of an entry; runs on the leader only."""
         instance, now = UpstreamInstance(msg.upstream, msg.started_at_ms), self._clock()
         with self._lock:
             wait_s = self._grants_for(instance, msg.rate).grant_request(now)
@@ -220,11 +220,11 @@
         return grants
 
     def acquire_order_slot(self, record: UpstreamRecord) -> bool:
-        """Return whether an order may be sent to an upstream; count it if so."""
+        """Return whether an order may be sent to an engine; if so, count it."""
         return self._acquire_slot(record, GrantBucket.grant_order)
 
     def acquire_report_slot(self, record: UpstreamRecord) -> bool:
-        """Return whether a report may be requested from an upstream; count it if so."""
+        """Return whether an engine's report may be requested; if so, count it."""
         return self._acquire_slot(record, GrantBucket.grant_report)
 
     def _acquire_slot(
@@ -238,7 +238,7 @@
             return acquire(self._grants_for(instance, state.rate), self._clock())
 
     def receive_grant(self, grant: LimitGrant) -> None:
-        """Apply the answer of the leader."""
+        """Apply the leader's reply to a grant request."""
         with self._lock:
             pair = self._allowances.get(grant.upstream)
             if pair is None or pair[0].started_at_ms != grant.started_at_ms:
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -18,12 +18,13 @@
 from .peer_work import PeerWork
 
 MISSING_TTL_S: Final = 1.0
-"""Time for which an engine's answer that it lacks a model or adapter overrides
-inventories that list it."""
+"""Time for which an engine's answer that a model or adapter is missing overrides
+inventories that list the model or adapter."""
 REPORTED_TTL_S: Final = 2.5
 """Time for which an inventory from the leader overrides the engine's store record.
 
-The record lags by a heartbeat and a store update; the leader resends each second."""
+The record lags by a heartbeat and a store update; the leader resends
+inventories twice a second."""
 BUSY_MARGIN_S: Final = 0.3
 """Time after the expected end of a load before the engine counts as free; the leader
 reports the actual end at once."""
@@ -82,7 +83,7 @@
 
 
 class UpstreamTable:
-    """All upstreams of this entry; not thread-safe, the owner holds a lock."""
+    """All upstreams of this entry; not thread-safe, callers must hold a lock."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self._clock = clock
@@ -97,7 +98,7 @@
         self._cfg = cfg
 
     def update(self, records: Iterable[UpstreamRecord]) -> None:
-        """Apply a list of upstreams; keep the state of upstreams listed before."""
+        """Apply a list of upstreams; retain the state of those listed before."""
         states: dict[Upstream, UpstreamState] = {}
         for record in records:
             old = self._states.get(record.name)
@@ -238,7 +239,7 @@
     ) -> None:
         """Restore the full share of failing upstreams if no healthy one is capable.
 
-        Some answers are better than none: all callers would be refused otherwise.
+        Otherwise all callers would be refused, although some requests would succeed.
         """
         candidates = [view for view in views if view.upstream in capable]
         if any(view.traffic_share >= 1.0 for view in candidates):
--- a/src/persimmonhitch/direct/upstreams.py
+++ b/src/persimmonhitch/direct/upstreams.py
@@ -27,8 +27,8 @@
 class UpstreamList:
     """Decodes records, each version once, and delays removals after a store outage.
 
-    During an outage the store may drop the records of running upstreams. If these were
-    removed right away, every request would be refused until they have re-registered.
+    During an outage the store may drop the records of running upstreams. If the
+    list dropped them at once, all requests would be refused until they re-register.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
     def _keep_draining(
         self, old: _DecodedRecord | None, obj: StoredObject, new: UpstreamRecord
     ) -> UpstreamRecord:
-        """Keep an upstream draining if a restored store has its record from before."""
+        """Keep an upstream draining if a restored store has an older record of it."""
         if old is None or old.record is None or not old.record.draining:
             return new
         restored = era_of(obj.version) > era_of(old.version)
--- a/src/persimmonhitch/direct/watchers.py
+++ b/src/persimmonhitch/direct/watchers.py
@@ -14,8 +14,8 @@
 UPSTREAM_WATCH_PAUSE_S: Final = 0.7
 """Seconds between two watch calls for upstreams. Each upstream rewrites its record
 about once per second, and a watch ends at the first change. Without the pause, each
-write would cause a call by every entry. An upstream may receive requests for up to two
-seconds after it starts draining."""
+write would cause a call by every entry. This pause is allowed, as an upstream may
+receive requests for up to two seconds after it starts draining."""
 MAX_RETRY_S: Final = 1.0
 """Maximum seconds between two attempts while the store is unavailable."""
 ENTRY_WATCH_PAUSE_S: Final = 1.0
--- a/tests/test_direct_dispatcher.py
+++ b/tests/test_direct_dispatcher.py
@@ -72,9 +72,9 @@
 
 
 def test_waiting_requests_are_refused_at_shutdown():
-    """An entry stops while requests wait for a model that no engine has loaded. If held
-    up to the stop limit, they get no answer; refused at once, they can be sent to
-    another entry.
+    """An entry stops while requests wait for a model that no engine has loaded. If they
+    wait until the stop limit, they get no answer. After an early refusal, callers can
+    still try another entry.
     """
     dispatcher = make_dispatcher(record(models=()))
     waiting = WaitingRequest(dispatcher, request())
--- a/tests/test_direct_leader.py
+++ b/tests/test_direct_leader.py
@@ -55,7 +55,7 @@
 
 
 class Clock:
-    """A constant time, which the stand-in engines require."""
+    """A clock that always returns 0, as ``FakeEngine`` requires one."""
 
     now = 0.0
 
@@ -135,7 +135,7 @@
 
 def test_model_used_without_an_adapter_is_in_use(leader):
     """Guards against a model that counts as idle because its requests use no adapter.
-    It would be evicted first, and the engine could load nothing until they have ended.
+    The engine would evict the model first and load nothing until these requests end.
     """
     work = UpstreamWork(Upstream("e1"), 1, 100, 0, (ModelUse(BIG, None),))
     leader.receive_entry_update(Vm("b"), entry_update({}, (work,)))
