--- a/src/persimmonhitch/catalog/__init__.py
+++ b/src/persimmonhitch/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' two lists, their changes and their versions."""
+"""Configuration of accounts, plans, models and services: lists, changes, versions."""
--- a/src/persimmonhitch/catalog/changes.py
+++ b/src/persimmonhitch/catalog/changes.py
@@ -1,4 +1,4 @@
-"""Numbered changes of the configuration, the only way in which it moves."""
+"""Numbered changes, the only way to modify the configuration."""
 
 import secrets
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
 )
 
 ChangeId = NewType("ChangeId", str)
-"""Random id of one change; tells one's own write from another's."""
+"""Random id of a change, by which a writer recognises its own write."""
 
 ID_BYTES: Final = 12
 
@@ -31,7 +31,7 @@
 
 
 class EntryKind(Enum):
-    """The parts of the configuration."""
+    """Kind of an entry of the configuration."""
 
     PLAN = "plan"
     ACCOUNT = "account"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Ref:
-    """Names one entry, whether or not it exists."""
+    """Kind and name of an entry, whether or not the entry exists."""
 
     kind: EntryKind
     name: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Delta:
-    """Entries put in place, new or in place of an old one, and entries deleted."""
+    """Entries to add or replace, and references of entries to delete."""
 
     plans: tuple[PlanEntry, ...] = ()
     accounts: tuple[AccountEntry, ...] = ()
@@ -63,7 +63,7 @@
     deleted: tuple[Ref, ...] = ()
 
     def upserts(self) -> Iterator[tuple[Ref, Entry]]:
-        """Yield every entry put, with its name."""
+        """Yield every entry to add or replace, with its reference."""
         for plan in self.plans:
             yield Ref(EntryKind.PLAN, plan.name), plan
         for account in self.accounts:
@@ -76,7 +76,7 @@
             yield Ref(EntryKind.KEY, key.hash), key
 
     def changed_refs(self) -> frozenset[Ref]:
-        """Return every entry that it puts or deletes."""
+        """Return the references of all entries that the delta writes or deletes."""
         return frozenset(ref for ref, _ in self.upserts()) | frozenset(self.deleted)
 
     def __bool__(self) -> bool:
@@ -87,8 +87,8 @@
 class Change:
     """One step from version ``number - 1`` to ``number``.
 
-    ``time`` is the operator's wall clock, for people only: order comes from the
-    number alone.
+    ``time`` is the wall clock of the operator, for information only. The number
+    alone determines the order.
     """
 
     number: ConfigVersion
@@ -99,7 +99,7 @@
 
 
 def new_change_id() -> ChangeId:
-    """Return a fresh change id."""
+    """Return a new random change id."""
     return ChangeId(secrets.token_hex(ID_BYTES))
 
 
@@ -109,7 +109,7 @@
 
 
 def apply_delta(catalog: Catalog, delta: Delta, version: ConfigVersion) -> Catalog:
-    """Return the catalog at ``version`` that a delta makes of an older one."""
+    """Return ``catalog`` with ``delta`` applied, at ``version``."""
     deleted: dict[EntryKind, set[str]] = {kind: set() for kind in EntryKind}
     for ref in delta.deleted:
         deleted[ref.kind].add(ref.name)
@@ -129,18 +129,18 @@
 
 
 def apply(catalog: Catalog, change: Change) -> Result[Catalog, str]:
-    """Return the next catalog; only the strictly next number is taken.
+    """Return the catalog after ``change``, which must have the next number.
 
-    A change that is skipped or taken twice would leave two processes at one
-    version with different content, which no later change would mend.
+    A change that is skipped or applied twice would leave two processes with
+    different content at one version, which no later change would repair.
     """
     if change.number != catalog.version + 1:
-        return Err(f"change {change.number} does not follow {catalog.version}")
+        return Err(f"change {change.number} does not follow version {catalog.version}")
     return Success(apply_delta(catalog, change.delta, change.number))
 
 
 def find_entry(catalog: Catalog, ref: Ref) -> Entry | None:
-    """Return the entry that a reference names, or None."""
+    """Return the entry of a reference, or None if the catalog lacks it."""
     match ref.kind:
         case EntryKind.PLAN:
             return catalog.plans.get(Plan(ref.name))
@@ -163,7 +163,7 @@
 
 
 def diff(old: Catalog, new: Catalog) -> Delta:
-    """Return what leads from one catalog to the other."""
+    """Return the delta from ``old`` to ``new``."""
     return Delta(
         plans=_changed_entries(old.plans, new.plans),
         accounts=_changed_entries(old.accounts, new.accounts),
@@ -179,10 +179,10 @@
 
 
 def diff_lists(old: Catalog, lists: Catalog) -> Delta:
-    """Return what leads from a catalog to the operators' lists, which hold no keys.
+    """Return the delta from a catalog to the operators' lists, which have no keys.
 
-    The keys of an account that goes are withdrawn with it. Otherwise an account
-    of the same name, entered later for another customer, would be open to them.
+    The keys of a removed account are withdrawn. Otherwise they would authenticate
+    an account of the same name that is added later for another customer.
     """
     keys = {
         key.hash: key
--- a/src/persimmonhitch/catalog/keys.py
+++ b/src/persimmonhitch/catalog/keys.py
@@ -1,4 +1,4 @@
-"""Keys of client accounts: issue, withdraw, authenticate."""
+"""Issue, withdrawal and authentication of the keys of client accounts."""
 
 import hashlib
 import hmac
@@ -15,25 +15,25 @@
 from .model import Catalog, KeyEntry, KeyState
 
 PREFIX: Final = "phk_"
-"""Lets scanners of repositories and logs recognise a key that leaked."""
+"""Prefix by which scanners of repositories and logs recognise a leaked key."""
 KEY_BYTES: Final = 32
 MIN_PREFIX_LENGTH: Final = 8
-"""Characters of a hash that must be given to name a key: 1 in 4 thousand million."""
+"""Minimum characters of a hash to select a key: one of 4 thousand million values."""
 SCHEME: Final = "bearer"
 
 
 def hash_key(key: str) -> KeyHash:
-    """Return the hash under which a key is kept.
+    """Return the hash under which a key is stored.
 
-    A plain digest is enough: a key is 256 random bits, so there is nothing to
-    guess that a slow password hash would protect, and the hash is worked out on
+    A plain digest is sufficient: a key has 256 random bits and cannot be guessed,
+    so a slow password hash would add no protection. The hash is computed for
     every request.
     """
     return KeyHash(hashlib.sha256(key.encode(errors="replace")).hexdigest())
 
 
 def issue(catalog: Catalog, account: Account) -> Result[tuple[str, Delta], str]:
-    """Return a new key, to be shown once, and the delta that lets it in."""
+    """Return a new key, to be shown only once, and the delta that adds the key."""
     if account not in catalog.accounts:
         return Err(f"no account named {account!r}")
     key = PREFIX + secrets.token_urlsafe(KEY_BYTES)
@@ -42,7 +42,7 @@
 
 
 def find(catalog: Catalog, prefix: str) -> Result[KeyEntry, str]:
-    """Return the one key whose hash starts with ``prefix``."""
+    """Return the only key whose hash starts with ``prefix``."""
     if len(prefix) < MIN_PREFIX_LENGTH:
         return Err(f"give at least {MIN_PREFIX_LENGTH} characters of the hash")
     matches = [key for key in catalog.keys.values() if key.hash.startswith(prefix)]
@@ -52,7 +52,7 @@
 
 
 def withdraw(catalog: Catalog, prefix: str) -> Result[Delta, str]:
-    """Return the delta that withdraws a key; an empty one if it is withdrawn."""
+    """Return the delta that withdraws a key, empty if the key is already withdrawn."""
     return find(catalog, prefix).map(_withdrawal)
 
 
@@ -63,7 +63,7 @@
 
 
 def bearer_key(header: str | None) -> str | None:
-    """Return the key in an ``Authorization`` header, or None without one."""
+    """Return the bearer key of an ``Authorization`` header, or None."""
     scheme, _, key = (header or "").strip().partition(" ")
     if scheme.lower() != SCHEME or not key.strip():
         return None
@@ -75,11 +75,10 @@
 
 
 def authenticate(catalog: Catalog, presented: str | None) -> Result[Account, Failure]:
-    """Return the account whose key was presented.
+    """Return the account of the presented key.
 
-    The key is looked up by its digest: how long that takes depends on the digest
-    of the guess, from which nothing follows for the next guess. The comparison
-    itself takes the same time for every content.
+    The lookup uses the digest of the key, so its duration reveals nothing that
+    helps to choose the next guess. The comparison takes constant time.
     """
     if not presented:
         return _refusal("a key is needed: Authorization: Bearer KEY")
--- a/src/persimmonhitch/catalog/lists.py
+++ b/src/persimmonhitch/catalog/lists.py
@@ -1,4 +1,4 @@
-"""The operators' two lists: accounts with their plans, and what each plan may use."""
+"""Parser of the operators' two lists: accounts, and plans with models and services."""
 
 import configparser
 import math
@@ -26,17 +26,17 @@
 
 NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/-]{0,99}")
 SERVICE_NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
-"""Stands in the path of a URL, so without a slash."""
+"""Part of a URL path and therefore without a slash."""
 PATTERN: Final = re.compile(r"[A-Za-z0-9*?\[][A-Za-z0-9._/*?\[\]-]{0,99}")
 METHOD: Final = re.compile(r"\*|[A-Z]+")
 NO_DEFAULTS: Final = "\0"
-"""Name of the section whose keys would spread into all others: none."""
+"""Impossible name of the default section, whose keys all sections would inherit."""
 
 Parser = Callable[[str], Any]
 
 
 class InvalidValue(ValueError):
-    """A value is not what its key demands; the text says what is."""
+    """A value does not fit its key; the text states the expected value."""
 
 
 def _number(minimum: float, exclusive: bool = False) -> Parser:
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class KeyRule:
-    """One key of a section; without a default it must be given."""
+    """Parser of a key of a section, and the default if the key is optional."""
 
     parse: Parser
     default: Any = None
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """What a section of one sort holds and how its name is built."""
+    """Patterns of the title and rules of the keys of a kind of section."""
 
     title: tuple[re.Pattern[str], ...]
     keys: dict[str, KeyRule]
@@ -148,7 +148,7 @@
 
 @dataclass
 class _ListFile:
-    """One list while it is read: its sections and the mistakes in it."""
+    """Sections of a list read so far, and the mistakes found."""
 
     name: str
     layouts: dict[str, Layout]
@@ -204,7 +204,7 @@
             return rule.default
 
     def of_kind(self, kind: str) -> Iterator[_Section]:
-        """Yield the sections of one sort in their order."""
+        """Yield the sections of a kind in file order."""
         return (section for section in self.sections if section.kind == kind)
 
 
@@ -268,25 +268,25 @@
     accounts_file: str = "accounts.ini",
     plans_file: str = "plans.ini",
 ) -> Result[Catalog, tuple[Mistake, ...]]:
-    """Read both lists.
+    """Parse both lists.
 
     Parameters
     ----------
     accounts, plans : str
-        Content of the two files.
+        Contents of the two files.
     accounts_file, plans_file : str
-        Their names, for the mistakes.
+        Names of the two files, for the mistakes.
 
     Returns
     -------
     Result
-        A catalog without keys at version 0, or every mistake in both files.
+        A catalog without keys at version 0, or all mistakes in both files.
     """
     account_list = _ListFile(accounts_file, ACCOUNT_LAYOUT)
     plan_list = _ListFile(plans_file, PLAN_LAYOUT)
     account_list.read(accounts)
     plan_list.read(plans)
-    # A section with a wrong title has no name to build an entry from.
+    # An entry cannot be built from a section with an invalid title.
     if account_list.mistakes or plan_list.mistakes:
         return Err((*account_list.mistakes, *plan_list.mistakes))
     catalog = _build(account_list, plan_list)
--- a/src/persimmonhitch/catalog/log.py
+++ b/src/persimmonhitch/catalog/log.py
@@ -1,7 +1,8 @@
-"""The log of changes in the object API: its readers and its writers.
+"""Reading and writing of the change log in the object API.
 
-Change N is the object of that number. Whoever writes change N + 1 creates it
-conditionally, so of two operators exactly one gets it and there is one order.
+Change N is the object of that number. The writer of change N + 1 creates its
+object conditionally, so exactly one of two operators succeeds and all changes
+have one order.
 """
 
 import time
@@ -30,22 +31,22 @@
 from .spec import from_spec, to_spec
 
 NUMBER_DIGITS: Final = 12
-"""Digits of a change's name: 26,000 changes a day for 100,000 years."""
+"""Digits of an object name: 26,000 changes a day for 100,000 years."""
 NO_CHANGE: Final = ChangeId("")
 COMPACTED: Final = ChangeId("compacted")
 MAX_ATTEMPTS: Final = 5
 RETRY_PAUSE_S: Final = 0.4
-"""Seconds; five attempts span the restart of one of the store's servers."""
+"""Delay between attempts; five attempts outlast the restart of a store server."""
 MAX_REBASES: Final = 16
-"""At 26,000 changes a day a writer loses 16 races in a row only by a fault."""
+"""At 26,000 changes a day, a writer loses 16 races in a row only due to a fault."""
 
 
 @dataclass(frozen=True)
 class Head:
-    """The newest state of the log as one read saw it.
+    """Newest state of the log in one read.
 
-    ``last`` is the id of the change at ``catalog.version``; a writer checks with
-    it that its own change follows the one that it has seen.
+    ``last_id`` is the id of the change at ``catalog.version``, by which a writer
+    verifies that its own change follows the change that the read returned.
     """
 
     catalog: Catalog
@@ -53,47 +54,47 @@
 
 
 class CommitError(Enum):
-    """Why a delta is not known to be in force."""
+    """Reason why a commit was not confirmed."""
 
     CONFLICT = "conflict"
-    """Another change touched the same entries; nothing was written."""
+    """Another change modified the same entries; nothing was written."""
     INVALID = "invalid"
-    """After another change it would leave names that lead nowhere."""
+    """After another change, the delta would leave references to missing entries."""
     UNAVAILABLE = "unavailable"
     """The store did not answer a read; nothing was written."""
     UNKNOWN = "unknown"
-    """The store did not answer the write; it may or may not be in force."""
+    """The store did not answer the write; the delta may or may not be in force."""
 
 
 @dataclass(frozen=True)
 class CommitFailure:
-    """Why a commit failed, for the operator."""
+    """Reason and description of a failed commit, for the operator."""
 
     error: CommitError
     detail: str
 
 
 def change_name(number: int) -> str:
-    """Return the name of the object that holds a change."""
+    """Return the object name of a change."""
     return f"{number:0{NUMBER_DIGITS}d}"
 
 
 def parse_change(obj: StoredObject) -> Result[Change, str]:
-    """Return the change that an object holds, or what is wrong with it."""
+    """Return the change stored in an object, or a description of the error."""
     result = from_spec(Change, obj.spec)
     if isinstance(result, Success):
         number = result.unwrap().number
         if obj.name != change_name(number):
-            return Err(f"object {obj.name} holds change {number}")
+            return Err(f"object {obj.name} contains change {number}")
     return result
 
 
 @dataclass(frozen=True)
 class Tail:
-    """What one read of the log adds to a catalog that a process holds.
+    """Part of the log beyond the catalog of a process.
 
-    ``snapshot`` is None where the changes follow on that catalog by themselves;
-    a watch goes on from ``listed``.
+    ``snapshot`` is None if the changes directly follow that catalog. A watch
+    starts at ``list_version``.
     """
 
     snapshot: Catalog | None
@@ -102,11 +103,11 @@
 
 
 def read_tail(store: ObjectStore, version: ConfigVersion) -> Result[Tail, StoreFailure]:
-    """Return what the store holds beyond a version.
+    """Return the part of the log beyond a version.
 
-    Changes are read before snapshots. The other way round, a snapshot written
-    between the two reads could take with it changes that the older snapshot
-    needs, and the catalog would seem to have a gap.
+    Changes are read before snapshots. In reverse order, a snapshot written between
+    the two reads could cause the deletion of changes that follow the older
+    snapshot, and the log would appear to have a gap.
     """
     listing = store.list_all(Kind.CHANGE)
     if not isinstance(listing, Success):
@@ -116,8 +117,8 @@
         return Err(parsed.failure())
     changes = parsed.unwrap()
     list_version = listing.unwrap().version
-    # Changes up to the version itself follow on it; if none of those is there
-    # they were compacted, and a snapshot that is newer has taken their place.
+    # The changes continue the catalog if they start at its version or the next
+    # one. Otherwise they were compacted into a newer snapshot.
     if version and changes and changes[0].number <= version + 1:
         return Success(Tail(None, changes, list_version))
     snapshot = read_snapshot(store)
@@ -127,7 +128,7 @@
 def _parse_all(
     listing: Listing, version: ConfigVersion
 ) -> Result[tuple[Change, ...], StoreFailure]:
-    """Return the changes from ``version`` on, in order."""
+    """Return the changes from ``version`` on, in ascending order."""
     items = sorted(listing.items, key=lambda obj: obj.name)
     parsed = [parse_change(obj) for obj in items if obj.name >= change_name(version)]
     for result in parsed:
@@ -137,7 +138,7 @@
 
 
 def read_head(store: ObjectStore) -> Result[Head, StoreFailure]:
-    """Return the newest catalog that the store holds."""
+    """Return the newest catalog in the store."""
     return read_tail(store, ConfigVersion(0)).bind(_replay)
 
 
@@ -157,7 +158,7 @@
 
 
 class _Outcome(Enum):
-    """What became of a conditional create."""
+    """Result of a conditional create."""
 
     OURS = "ours"
     OTHERS = "others"
@@ -165,18 +166,18 @@
 
 
 class ChangeWriter:
-    """Commits deltas of one operator.
+    """Writer of the changes of one operator.
 
     Parameters
     ----------
     store : ObjectStore
         The object API.
     operator : str
-        Who makes the changes, for the log.
+        Name of the author of the changes, stored in the log.
     wall : callable
         Wall clock in seconds.
     pause : callable
-        Waits a number of seconds between two attempts.
+        Function that sleeps a number of seconds between two attempts.
     """
 
     def __init__(
@@ -192,15 +193,15 @@
         self._sleep = sleep
 
     def commit(self, base: Catalog, delta: Delta) -> Result[Catalog, CommitFailure]:
-        """Write a delta that was worked out against ``base``.
+        """Write a delta that was computed against ``base``.
 
-        Changes that came after ``base`` and touch other entries are built upon;
-        one that touches the same entries is a conflict.
+        The delta is rebased onto later changes of other entries. A later change of
+        the same entries is a conflict.
 
         Returns
         -------
         Result
-            The catalog with the delta in force, or why it is not known to be.
+            The catalog with the delta in force, or the reason of the failure.
         """
         for _ in range(MAX_REBASES):
             read = read_head(self._store)
@@ -229,11 +230,11 @@
         return self._verify_append(change, head.last_id)
 
     def _create(self, change: Change) -> _Outcome:
-        """Create the object of a change, again while the answer is lost.
+        """Create the object of a change; retry while answers are lost.
 
-        A lost answer may stand for a write that took effect, or that takes
-        effect later. Sending the same change to the same number again is safe,
-        since one create at most succeeds; the id then tells whose it was.
+        A write without an answer may have taken effect or may take effect later.
+        A retry with the same change and number is safe, since at most one create
+        succeeds; the id of the stored change then identifies its writer.
         """
         name, spec = change_name(change.number), to_spec(change)
         for attempt in range(MAX_ATTEMPTS):
@@ -249,7 +250,7 @@
         return _Outcome.UNANSWERED
 
     def _change_id(self, number: int) -> ChangeId | None:
-        """Return the id of the change of that number, None if it is not known."""
+        """Return the id of a change, None if the store does not answer."""
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 self._sleep(RETRY_PAUSE_S)
@@ -269,13 +270,14 @@
         return NO_CHANGE if snapshot.unwrap() is None else COMPACTED
 
     def _verify_append(self, change: Change, expected_id: ChangeId) -> _Outcome:
-        """Return whether a created change is part of the log.
-
-        A writer that was frozen between its read and its create may find the
-        number free only because that change was compacted since; its operator
-        would be told of success while no process ever applies the change. Then
-        the predecessor is gone too, since compaction deletes upwards and leaves
-        the newest hundreds. Change 1 has none; before it there is no snapshot.
+        """Verify that a created change continues the log.
+
+        If a writer is frozen between its read and its create, the number may be
+        free only because another change of that number was compacted meanwhile.
+        The operator would then see a success although no process ever applies the
+        change. In this case the predecessor is missing too, since compaction
+        deletes in ascending order and retains the newest hundreds of changes.
+        Change 1 has no predecessor; it is valid if no snapshot exists.
         """
         predecessor_id = self._predecessor_id(change.number)
         if predecessor_id is None:
@@ -297,7 +299,7 @@
 
 
 def _check_rebase(base: Catalog, head: Catalog, delta: Delta) -> CommitFailure | None:
-    """Return what keeps a delta made against ``base`` from following ``head``."""
+    """Return the reason why a delta against ``base`` cannot be applied to ``head``."""
     changed = delta.changed_refs()
     refs = sorted(str(ref) for ref in changed & diff(base, head).changed_refs())
     if refs:
--- a/src/persimmonhitch/catalog/model.py
+++ b/src/persimmonhitch/catalog/model.py
@@ -1,4 +1,4 @@
-"""The configuration in force: plans, accounts, models, services and keys."""
+"""Entries of the configuration: plans, accounts, models, services and keys."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class KeyState(Enum):
-    """Whether a key may be used."""
+    """State of a key; only active keys authenticate."""
 
     ACTIVE = "active"
     WITHDRAWN = "withdrawn"
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True)
 class PlanEntry:
-    """What one plan may use, and how much.
+    """Models and services that the accounts of a plan may use, and their limits.
 
-    ``rate`` is tokens a second, ``burst`` tokens, both for each account over the
-    whole fleet; ``weight`` is its share of a busy upstream against others.
+    ``rate`` in tokens a second and ``burst`` in tokens apply to each account over
+    the whole fleet. ``weight`` is the relative share of an account of a busy
+    upstream.
     """
 
     name: Plan
@@ -30,16 +31,16 @@
     weight: float
     priority: Priority
     models: tuple[Model, ...]
-    """Names or patterns such as ``desk-*``."""
+    """Names or patterns, for example ``desk-*``."""
     services: tuple[Service, ...]
     """Names or patterns."""
 
     def may_use_model(self, model: Model) -> bool:
-        """Return whether the plan's accounts may call a model or adapter."""
+        """Return whether accounts of the plan may use a model or adapter."""
         return any(fnmatchcase(model, pattern) for pattern in self.models)
 
     def may_use_service(self, service: Service) -> bool:
-        """Return whether the plan's accounts may call a service."""
+        """Return whether accounts of the plan may use a service."""
         return any(fnmatchcase(service, pattern) for pattern in self.services)
 
 
@@ -53,21 +54,21 @@
 
 @dataclass(frozen=True)
 class ModelEntry:
-    """A model; an adapter names its ``base``. Memory is in GiB."""
+    """A model, or an adapter if ``base`` is set. Memory is in GiB."""
 
     name: Model
     memory: float
     revision: str
     base: Model | None
     kv_memory: float
-    """GiB of KV cache that a copy needs beside its weights."""
+    """GiB of KV cache that a copy needs in addition to its weights."""
 
 
 @dataclass(frozen=True)
 class RouteEntry:
-    """Calls of a service that match; the first match decides.
+    """Rule for the requests of a service; the first matching route applies.
 
-    ``repeatable`` says whether a call may be sent again.
+    ``repeatable`` states whether a request may be sent again.
     """
 
     method: str
@@ -75,21 +76,21 @@
     repeatable: bool
 
     def matches(self, method: str, path: str) -> bool:
-        """Return whether a call falls under this route."""
+        """Return whether a request matches this route."""
         return self.method in ("*", method) and fnmatchcase(path, self.path)
 
 
 @dataclass(frozen=True)
 class ServiceEntry:
-    """A plain service, its upstreams by name prefix and its routes."""
+    """A service without models, its cost and its routes."""
 
     name: Service
     cost: float
-    """Tokens that one call costs its account."""
+    """Tokens charged to the account for a request."""
     routes: tuple[RouteEntry, ...]
 
     def repeatable(self, method: str, path: str) -> bool:
-        """Return whether a call may be repeated; without a route it may not."""
+        """Return whether a request may be sent again; False if no route matches."""
         for route in self.routes:
             if route.matches(method, path):
                 return route.repeatable
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True)
 class KeyEntry:
-    """A key by its hash."""
+    """A key, identified by its hash."""
 
     hash: KeyHash
     account: Account
@@ -120,7 +121,7 @@
     keys: dict[KeyHash, KeyEntry] = field(default_factory=dict)
 
     def plan_of(self, account: Account) -> PlanEntry | None:
-        """Return the plan of an account, or None for an unknown one."""
+        """Return the plan of an account, or None if account or plan is unknown."""
         entry = self.accounts.get(account)
         return None if entry is None else self.plans.get(entry.plan)
 
--- a/src/persimmonhitch/catalog/references.py
+++ b/src/persimmonhitch/catalog/references.py
@@ -1,4 +1,4 @@
-"""Names in the configuration that lead nowhere."""
+"""Detection of references to missing entries of the configuration."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class DanglingRef:
-    """An entry whose ``key`` names something that does not exist."""
+    """Entry whose ``key`` refers to a missing or unsuitable entry."""
 
     ref: Ref
     key: str
@@ -60,7 +60,7 @@
 
 
 def find_dangling(catalog: Catalog) -> tuple[DanglingRef, ...]:
-    """Return every name in a catalog that leads nowhere."""
+    """Return all dangling references of a catalog."""
     return (
         *_check_accounts(catalog),
         *_check_plans(catalog),
--- a/src/persimmonhitch/catalog/render.py
+++ b/src/persimmonhitch/catalog/render.py
@@ -1,4 +1,4 @@
-"""Write the configuration in force back as the operators' two lists."""
+"""Formatting of a catalog as the operators' two lists."""
 
 from collections.abc import Iterable, Iterator
 
@@ -34,7 +34,7 @@
 
 def _service(service: ServiceEntry) -> Iterator[str]:
     yield _section(f"service {service.name}", [("cost", f"{service.cost!r}")])
-    # Routes keep their order: the first that matches decides.
+    # Routes stay in order, since the first matching route applies.
     for route in service.routes:
         repeatable = "yes" if route.repeatable else "no"
         title = f"route {service.name} {route.method} {route.path}"
--- a/src/persimmonhitch/catalog/snapshots.py
+++ b/src/persimmonhitch/catalog/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the whole configuration, so that old changes can be deleted."""
+"""Snapshots of the whole configuration, which allow old changes to be deleted."""
 
 import hashlib
 import json
@@ -25,22 +25,22 @@
 INTERVAL: Final = 256
 """Changes between two snapshots.
 
-At 26,000 changes a day that is one snapshot in 14 minutes, against a store that
-takes hundreds of writes a second; a newcomer replays 512 changes at most.
+At 26,000 changes a day this makes one snapshot in 14 minutes, on a store that
+accepts hundreds of writes a second. A new process replays at most 512 changes.
 """
 RETAINED: Final = 256
-"""Changes before the snapshot that stay, so that a process which lags by a
-minute or two at full size still follows change by change."""
+"""Changes retained before the snapshot, so that a process that lags by one or two
+minutes at full size can still apply single changes."""
 MAX_PART_BYTES: Final = 512 * 1024
-"""Of one part: half of the store's limit, so that one entry more fits."""
+"""Maximum size of a part: half the limit of the store, to leave room for an entry."""
 
 
 @dataclass(frozen=True)
 class SnapshotPart:
-    """One of ``parts`` parts of the catalog at ``version``.
+    """Part ``part`` of ``parts`` of the catalog at ``version``.
 
-    ``digest`` stands for the whole content, so that parts written by two
-    releases which split differently are never put together.
+    ``digest`` is the digest of the whole content, so that parts written by two
+    releases that split differently are never joined.
     """
 
     version: ConfigVersion
@@ -51,7 +51,7 @@
 
 
 def _split(catalog: Catalog) -> Iterator[Delta]:
-    """Yield the entries in pieces that each fit one part, in a fixed order."""
+    """Yield the entries as deltas that each fit into one part, in a fixed order."""
     fields = ("plans", "accounts", "models", "services", "keys")
     chunk: dict[str, list[object]] = defaultdict(list)
     size = 0
@@ -72,7 +72,7 @@
 
 
 def make_parts(catalog: Catalog) -> tuple[SnapshotPart, ...]:
-    """Return the parts that hold a catalog."""
+    """Return the parts of a snapshot of ``catalog``."""
     deltas = tuple(_split(catalog))
     text = json.dumps([to_spec(delta) for delta in deltas], sort_keys=True)
     digest = hashlib.sha256(text.encode()).hexdigest()[:16]
@@ -83,12 +83,12 @@
 
 
 def part_name(part: SnapshotPart) -> str:
-    """Return the name of the object that holds a part."""
+    """Return the object name of a part."""
     return f"{part.version:012d}-{part.digest}-{part.part:04d}"
 
 
 def join_parts(parts: list[SnapshotPart]) -> Catalog | None:
-    """Return the newest catalog of which all parts are there, or None."""
+    """Return the newest catalog that has all its parts, or None."""
     groups: dict[tuple[int, str], dict[int, SnapshotPart]] = defaultdict(dict)
     for part in parts:
         groups[part.version, part.digest][part.part] = part
@@ -113,7 +113,7 @@
 
 
 def read_snapshot(store: ObjectStore) -> Result[Catalog | None, StoreFailure]:
-    """Return the newest whole snapshot, or None when there is none."""
+    """Return the newest complete snapshot, or None if there is none."""
     listing = store.list_all(Kind.SNAPSHOT)
     if not isinstance(listing, Success):
         return Err(listing.failure())
@@ -124,10 +124,10 @@
 
 
 def compact(store: ObjectStore, catalog: Catalog) -> Result[bool, StoreFailure]:
-    """Write a snapshot of ``catalog`` if one is due, and delete what it replaces.
+    """Write a snapshot of ``catalog`` if one is due, and delete superseded objects.
 
-    Any process may call it at any time, also several at once: parts have names
-    that follow from their content, and changes go only once all parts are there.
+    Concurrent calls by several processes are safe: the name of a part depends on
+    its content only, and changes are deleted only once all parts exist.
 
     Returns
     -------
@@ -157,8 +157,8 @@
     changes = _objects_below(store, Kind.CHANGE, version - RETAINED)
     if not isinstance(changes, Success):
         return Err(changes.failure())
-    # Upwards, and none before the one below it is gone: a writer concludes from
-    # a change that is there that all later ones are there.
+    # Delete in ascending order, one after the other: a writer concludes from an
+    # existing change that all later changes exist.
     deleted = _delete_each(store, changes.unwrap())
     if not isinstance(deleted, Success):
         return deleted
--- a/src/persimmonhitch/catalog/spec.py
+++ b/src/persimmonhitch/catalog/spec.py
@@ -1,4 +1,4 @@
-"""Dataclasses as JSON objects of the store, checked field by field when read."""
+"""Conversion of dataclasses to and from JSON objects of the store, with checks."""
 
 import types
 from collections.abc import Mapping
@@ -14,11 +14,11 @@
 
 
 class SpecError(ValueError):
-    """An object of the store does not hold what its type demands."""
+    """An object of the store does not match its dataclass."""
 
 
 def to_spec(value: Any) -> Any:
-    """Return the JSON form of a dataclass and what it holds."""
+    """Return the JSON form of a dataclass, including nested values."""
     if isinstance(value, Enum):
         return value.value
     if is_dataclass(value):
@@ -74,7 +74,7 @@
 
 
 def from_spec(cls: type[T], value: Any) -> Result[T, str]:
-    """Return the dataclass that a JSON object holds, or what is wrong with it."""
+    """Return the dataclass of a JSON object, or a description of the error."""
     try:
         return Success(_parse_dataclass(cls, value))
     except SpecError as exc:
