--- a/src/persimmonhitch/entry/peers.py
+++ b/src/persimmonhitch/entry/peers.py
@@ -1,4 +1,4 @@
-"""Links between entries, for loans of tokens and pushes of configuration."""
+"""Links between entries, for token loans and configuration updates."""
 
 import threading
 import time
@@ -20,9 +20,9 @@
 M = TypeVar("M")
 RELINK_INTERVAL_S: Final = 0.3
 MAX_OPENS: Final = 4
-"""Links that are opened at a time; one to a VM without power takes seconds to fail."""
+"""Links opened concurrently; a link to a VM that is down takes seconds to fail."""
 UNUSED_LINK_TTL_S: Final = 5.0
-"""Seconds after which a link is closed that is no longer wanted."""
+"""Time after which a link to an entry that is no longer wanted is closed."""
 
 MessageHandler = Callable[[Vm, Any], None]
 Address = tuple[str, int]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class PeerInfo:
-    """Where another entry is."""
+    """Address and location of another entry."""
 
     vm: Vm
     zone: Zone
@@ -38,11 +38,11 @@
     host: str
     port: int
     cores: float = 1.0
-    """Processor time of its VM."""
+    """Processor cores of the VM."""
 
     @classmethod
     def from_object(cls, obj: StoredObject) -> "PeerInfo | None":
-        """Return the entry of a stored object, or None for a broken one."""
+        """Parse a stored object; return None if it is malformed."""
         spec = obj.spec
         try:
             return cls(
@@ -59,20 +59,20 @@
 
     @classmethod
     def from_hello(cls, msg: Hello) -> "PeerInfo":
-        """Return an entry that the store does not list."""
+        """Return the description of an entry that the store does not list."""
         return cls(msg.vm, msg.zone, Region(""), "", 0)
 
 
 class PeerMesh:
-    """Sends to and hears from the other entries.
+    """Exchanges messages with the other entries.
 
-    Each entry sends on links that it opened itself and hears on those that it
-    accepted, so that a link has one writer of requests and the two directions
-    fail apart. One that is not in the store's list is answered on its own link:
-    it started while the store was away, and found the others by its seeds.
+    Each entry sends on the links that it opened and receives on the links that it
+    accepted, so that a link has one sender of requests and the two directions fail
+    independently. An entry that the store does not list is answered on its own link:
+    it started while the store was unavailable and found its peers by the seeds.
 
-    Where ``wanted`` is given, links are opened only to the entries that it returns;
-    messages to others go on links that these have opened, if there are any.
+    If ``wanted`` is given, links are opened only to the entries that it returns.
+    Messages to other entries use the links that those entries opened, if any.
     """
 
     def __init__(
@@ -113,19 +113,19 @@
         return self._server.port
 
     def on(self, kind: type[M], handler: Callable[[Vm, M], None]) -> None:
-        """Hand every message of a kind to ``handler``, with its sender.
+        """Register the handler for messages of a type; it also receives the sender.
 
-        Handlers run one at a time, in order of arrival, on a thread of their own.
+        Handlers run one at a time, in order of arrival, on a separate thread.
         """
         self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Accept links and open our own."""
+        """Start accepting and opening links."""
         self._server.start()
         self._thread.start()
 
     def stop(self) -> None:
-        """End every link."""
+        """Stop the server and the threads, and close all links."""
         self._stopping.set()
         self._server.stop()
         with self._lock:
@@ -136,14 +136,14 @@
         self._openers.shutdown(wait=False, cancel_futures=True)
 
     def update_entries(self, view: View) -> None:
-        """Take the store's list of entries."""
+        """Apply the list of entries from the store."""
         infos = [PeerInfo.from_object(obj) for obj in view.objects.values()]
         by_vm = {info.vm: info for info in infos if info and info.vm != self.vm}
         with self._lock:
             self._infos = by_vm
 
     def peers(self) -> tuple[PeerInfo, ...]:
-        """Return the entries to which a link is open."""
+        """Return the entries that can be reached by an open link."""
         with self._lock:
             linked = tuple(i for vm, i in self._infos.items() if vm in self._links)
             hellos = {msg.vm: msg for msg in self._hellos.values()}
@@ -151,7 +151,7 @@
             return (*linked, *(PeerInfo.from_hello(hellos[vm]) for vm in unlisted))
 
     def incarnation(self, vm: Vm) -> Incarnation | None:
-        """Return the newest process that has greeted from a VM, gone or not."""
+        """Return the latest incarnation that sent a ``Hello`` from a VM."""
         with self._lock:
             return self._incarnations.get(vm)
 
@@ -184,7 +184,7 @@
             self._update_seed_links(bool(infos))
 
     def _update_seed_links(self, has_listed: bool) -> None:
-        """Keep links to the seeds, only while the store lists no other entry."""
+        """Keep links to the seeds only while the store lists no other entry."""
         with self._lock:
             links = dict(self._seed_links)
         if has_listed:
@@ -215,8 +215,8 @@
             return
         link = result.unwrap()
         with self._lock:
-            # A link may end before it is entered here; its end would then have
-            # been told already, and a dead link would stand in the table.
+            # A link may close before it is added here. Its on_close has then already
+            # run, and a closed link would remain in the table.
             if not link.ended.is_set():
                 self._links[info.vm] = link
         log("peer_linked", peer_vm=info.vm)
@@ -225,7 +225,7 @@
         return self
 
     def on_message(self, link: Link, msg: Any) -> None:
-        """Take one message of a peer; its first must be ``Hello``."""
+        """Handle a message of a peer; the first on a link must be ``Hello``."""
         if isinstance(msg, Hello):
             if self.receive_hello(link, msg):
                 link.send(self._hello())
@@ -245,7 +245,7 @@
             log("peer_message_failed", peer_vm=vm, error=repr(exc))
 
     def receive_hello(self, link: Link, msg: Hello) -> bool:
-        """Note who is at the other end; return whether it is another entry."""
+        """Record the sender of a ``Hello`` and return whether it is another entry."""
         if msg.protocol != PROTOCOL or msg.role is not Role.ENTRY:
             log("protocol_mismatch", peer=link.peer, theirs=msg.protocol, ours=PROTOCOL)
             link.close()
@@ -264,7 +264,7 @@
         return True
 
     def on_close(self, link: Link) -> None:
-        """Forget a link that has ended."""
+        """Remove a closed link."""
         with self._lock:
             msg = self._hellos.pop(link, None)
             if msg is not None and self._hello_links.get(msg.vm) is link:
@@ -281,7 +281,7 @@
 
 
 class _OpenedLink:
-    """Handler of a link that this entry opened: its greeting gets no answer."""
+    """Handler of a link that this entry opened; a received ``Hello`` gets no reply."""
 
     def __init__(self, mesh: PeerMesh) -> None:
         self._mesh = mesh
--- a/src/persimmonhitch/planner/__init__.py
+++ b/src/persimmonhitch/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The planner: places models on upstreams, one active at a time."""
+"""Planner: decides which upstream loads which model; one planner leads at a time."""
--- a/src/persimmonhitch/planner/__main__.py
+++ b/src/persimmonhitch/planner/__main__.py
@@ -1,4 +1,4 @@
-"""Run the planner as ``python -m persimmonhitch.sidecar``."""
+"""Run the planner as ``python -m persimmonhitch.planner``."""
 
 import sys
 
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -1,4 +1,4 @@
-"""What the planner knows of the upstreams, from their sidecars' own words."""
+"""The planner's view of the upstreams, built from the reports of their sidecars."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -14,8 +14,11 @@
 from ..wire.placement import CopyState, Inventory
 
 LINK_LOSS_GRACE_S: Final = 10.0
-"""Seconds without a link until an upstream's copies count as gone: longer than a
-sidecar's restart, which would else cost a load of each of its models."""
+"""Time after the loss of a link for which the copies of an upstream still count.
+
+Longer than a restart of a sidecar, which would otherwise cause a load of each of its
+models elsewhere.
+"""
 COPY_PHASES: Final = {
     CopyState.LOADING: CopyPhase.LOADING,
     CopyState.LOADED: CopyPhase.SERVING,
@@ -25,7 +28,7 @@
 
 @dataclass
 class PendingOrder:
-    """An order that was sent and does not show in the holdings yet."""
+    """An order that was sent and that the upstream's inventory may not show yet."""
 
     move: Move
     memory: float
@@ -34,29 +37,29 @@
 
 @dataclass
 class FleetMember:
-    """One upstream."""
+    """One upstream, with its link, its last inventory and its pending orders."""
 
     info: SidecarInfo
     link: Link | None = None
     inventory: Inventory | None = None
     received_at: float = 0.0
     reported_on_link: bool = False
-    """Holdings came over the link that is open now, not from an earlier life."""
+    """The inventory was received over the current link, not over an earlier one."""
     orders: dict[str, PendingOrder] = field(default_factory=dict)
 
     def has_reported(self, epoch: Epoch) -> bool:
-        """Return whether its holdings are from after it took our epoch."""
+        """Return whether the inventory was reported under this epoch."""
         return self.inventory is not None and self.inventory.epoch == epoch
 
 
 class FleetView:
-    """All upstreams that the store lists, with what their sidecars say."""
+    """All upstreams listed in the store, with the reports of their sidecars."""
 
     def __init__(self) -> None:
         self.members: dict[Upstream, FleetMember] = {}
 
     def set_sidecars(self, infos: Mapping[Upstream, SidecarInfo]) -> list[Link]:
-        """Take the store's list; return the links of those that left it."""
+        """Apply the list of the store and return the links of removed upstreams."""
         removed = [u for u in self.members if u not in infos]
         members = [self.members.pop(upstream) for upstream in removed]
         for upstream, info in infos.items():
@@ -67,7 +70,7 @@
         return [member.link for member in members if member.link is not None]
 
     def attach(self, upstream: Upstream, link: Link) -> bool:
-        """Take a new link; return False when the upstream is not wanted."""
+        """Attach a new link; return False if the upstream is unlisted or has a link."""
         member = self.members.get(upstream)
         if member is None or member.link is not None:
             return False
@@ -76,14 +79,14 @@
         return True
 
     def detach(self, upstream: Upstream, link: Link) -> None:
-        """Take the end of a link; what was ordered over it shows in holdings."""
+        """Detach a closed link and drop its orders; inventories show their effect."""
         member = self.members.get(upstream)
         if member is not None and member.link is link:
             member.link = None
             member.orders.clear()
 
     def receive_inventory(self, msg: Inventory, now: float) -> None:
-        """Take an upstream's holdings."""
+        """Store the inventory of an upstream and drop the orders that have ended."""
         member = self.members.get(msg.upstream)
         if member is None:
             return
@@ -93,7 +96,7 @@
         member.orders = {k: o for k, o in member.orders.items() if not o.done}
 
     def finish_order(self, upstream: Upstream, msg: OrderDone) -> PendingOrder | None:
-        """Take an order's end; return it if it was open."""
+        """Mark an order as ended and return it, or None if it is unknown."""
         member = self.members.get(upstream)
         order = None if member is None else member.orders.get(msg.order_id)
         if order is not None:
@@ -101,7 +104,7 @@
         return order
 
     def pending(self) -> set[LoadTarget]:
-        """Return the places with an order whose end is not known yet."""
+        """Return the model and upstream of each order that has not ended yet."""
         return {
             (order.move.model, upstream)
             for upstream, member in self.members.items()
@@ -110,13 +113,13 @@
         }
 
     def all_reported(self, epoch: Epoch) -> bool:
-        """Return whether every listed upstream has reported in this epoch."""
+        """Return whether every listed upstream has reported under this epoch."""
         return all(member.has_reported(epoch) for member in self.members.values())
 
     def targets(
         self, epoch: Epoch, needs: Mapping[Model, ModelRequirement], now: float
     ) -> list[PlacementTarget]:
-        """Return the upstreams that are known to live, or were a moment ago."""
+        """Return the upstreams that are alive or lost their link only recently."""
         targets = []
         for upstream, member in self.members.items():
             inventory = member.inventory
@@ -129,7 +132,7 @@
         return targets
 
     def demand(self, epoch: Epoch) -> dict[Model, float]:
-        """Return the tokens a second asked for by model, over all upstreams."""
+        """Return the demand per model over all upstreams, in tokens per second."""
         total: dict[Model, float] = {}
         for member in self.members.values():
             if member.inventory is None or not member.has_reported(epoch):
@@ -155,8 +158,9 @@
         if phase is None:
             continue
         if unresponsive and phase is CopyPhase.SERVING:
-            # It may serve or be gone: it counts as a copy, so that a sidecar's
-            # restart moves nothing, but no other copy is unloaded for its sake.
+            # The copy may or may not still be serving. It counts as loading, so that
+            # a restart of the sidecar causes no move and no other copy is unloaded
+            # in reliance on this one.
             phase = CopyPhase.LOADING
         name, rev = status.copy.name, status.copy.revision
         need = needs.get(name)
@@ -179,7 +183,7 @@
 def _apply_order(
     order: PendingOrder, copies: dict[Model, PlacedCopy], stale: dict[Model, PlacedCopy]
 ) -> float:
-    """Enter an order that the holdings may not show yet; return the memory taken."""
+    """Apply a pending order to the copies and return the GiB that it reserves."""
     move = order.move
     if not move.is_load:
         for group in (copies, stale):
--- a/src/persimmonhitch/planner/links.py
+++ b/src/persimmonhitch/planner/links.py
@@ -1,4 +1,4 @@
-"""Links of the planner that holds the lease to the sidecars of engines."""
+"""Links of the leading planner to the sidecars of engines."""
 
 import threading
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class LinkOpened:
-    """A sidecar was reached."""
+    """A link to a sidecar was opened."""
 
     upstream: Upstream
     link: Link
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class LinkLost:
-    """A link ended."""
+    """A link to a sidecar was closed."""
 
     upstream: Upstream
     link: Link
@@ -35,39 +35,39 @@
 
 @dataclass(frozen=True)
 class SidecarMessage:
-    """A message of a sidecar."""
+    """A message received from a sidecar."""
 
     upstream: Upstream
     msg: Any
 
 
 class _LinkHandler:
-    """Hands a link's messages on under the upstream's name."""
+    """Forwards the events of a link with the name of its upstream."""
 
     def __init__(self, upstream: Upstream, deliver: Callable[[Any], None]) -> None:
         self._upstream = upstream
         self._deliver = deliver
 
     def on_message(self, link: Link, msg: Any) -> None:
-        """Hand a message on."""
+        """Forward a message."""
         self._deliver(SidecarMessage(self._upstream, msg))
 
     def on_close(self, link: Link) -> None:
-        """Hand the end on."""
+        """Report that the link was closed."""
         self._deliver(LinkLost(self._upstream, link))
 
 
 class Dialer:
-    """Opens links on a few threads of its own.
+    """Opens links to sidecars on a thread pool.
 
     Parameters
     ----------
     secret : bytes
-        The fleet's secret.
+        Shared secret of the fleet.
     hello : callable
-        First message of a link.
+        Returns the first message to send on a link.
     tell : callable
-        Takes ``LinkOpened``, ``LinkLost`` and ``SidecarMessage``.
+        Receives ``LinkOpened``, ``LinkLost`` and ``SidecarMessage``.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self._pool = ThreadPoolExecutor(MAX_CONCURRENT_DIALS, thread_name_prefix="dial")
 
     def dial(self, info: SidecarInfo) -> None:
-        """Try to reach a sidecar, unless a try is under way."""
+        """Open a link to a sidecar unless an attempt is in progress."""
         with self._lock:
             if info.upstream in self._dialing:
                 return
@@ -89,7 +89,7 @@
         self._pool.submit(self._open, info)
 
     def stop(self) -> None:
-        """Try no more."""
+        """Cancel the queued attempts and start no new ones."""
         self._pool.shutdown(wait=False, cancel_futures=True)
 
     def _open(self, info: SidecarInfo) -> None:
--- a/src/persimmonhitch/planner/main.py
+++ b/src/persimmonhitch/planner/main.py
@@ -1,4 +1,4 @@
-"""Model placement; one planner at a time holds the lease.
+"""Places models on upstreams; one planner at a time holds the lease.
 
 Usage:
   persimmonhitch-planner --settings=FILE [--check]
@@ -36,7 +36,7 @@
 
 
 class PlannerProcess:
-    """All parts of the process."""
+    """Components of the planner process."""
 
     def __init__(self, cfg: PlannerSettings) -> None:
         self.cfg = cfg
@@ -60,18 +60,19 @@
         self._watcher: Watcher | None = None
         feed = CatalogFeed()
         feed.add_listener(lambda catalog: self._send(CatalogRead(catalog)))
-        # Those that stand by read nothing; a change costs the holder one event.
+        # Only the leader watches the catalog, so a change sends one event, not one to
+        # each standby planner.
         self._source = StoreSource(
             self._store, feed, lambda: self._lease.epoch() is not None
         )
 
     @classmethod
     def from_config(cls, cfg: PlannerSettings) -> "PlannerProcess":
-        """Build the process from its settings."""
+        """Create the process from its settings."""
         return cls(cfg)
 
     def start(self) -> None:
-        """Try for the lease and plan while it is held."""
+        """Start to compete for the lease and to plan while it is held."""
         self._send(self._dialer)
         self._repeat(self.cfg.lease_duration / RENEWALS_PER_LEASE, self._step_lease)
         self._repeat(self.cfg.period, lambda: self._send(Tick()))
@@ -80,7 +81,7 @@
         announce("started")
 
     def stop(self, _lifecycle: Lifecycle) -> None:
-        """Give no more orders, then let the next holder in."""
+        """Stop giving orders, then release the lease to the next leader."""
         self._stopping.set()
         self._source.stop()
         pykka.ActorRegistry.stop_all()
@@ -126,11 +127,11 @@
         try:
             self._actor.tell(message)
         except pykka.ActorDeadError:
-            log("planning_ended", dropped=type(message).__name__)
+            log("planning_actor_stopped", dropped=type(message).__name__)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the planner until a signal ends it."""
+    """Run the planner until a signal stops it."""
     args = docopt(__doc__, argv)
     return run_service(
         "planner",
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -1,4 +1,4 @@
-"""The planner's actor: owns the view of the fleet and gives the orders."""
+"""The planner's actor: owns the view of the fleet and sends orders to sidecars."""
 
 import itertools
 from collections.abc import Callable
@@ -22,37 +22,40 @@
 from .round import RoundPlanner
 
 TRANSIENT_ERRORS: Final = frozenset({OrderError.STARTING.value, OrderError.BUSY.value})
-"""Errors that pass by themselves."""
+"""Errors that clear without a change of the plan; no backoff is needed."""
 
 
 @dataclass(frozen=True)
 class Tick:
-    """Time for a round."""
+    """Triggers a planning round."""
 
 
 @dataclass(frozen=True)
 class SidecarsListed:
-    """The store's list of engines' sidecars."""
+    """The list of the sidecars of engines in the store."""
 
     infos: dict[Upstream, SidecarInfo]
 
 
 @dataclass(frozen=True)
 class CatalogRead:
-    """A newer catalog."""
+    """The catalog was read from the store."""
 
     catalog: Catalog
 
 
 @dataclass(frozen=True)
 class PlanningLimits:
-    """What the actor needs of the settings."""
+    """Settings of the actor.
+
+    ``settle_s`` is the time that a new leader waits for missing inventories.
+    """
 
     settle_s: float
 
 
 class PlanningActor(pykka.ThreadingActor):
-    """Plans while the lease is held, and does nothing else."""
+    """Plans and sends orders while this process may act under the lease."""
 
     def __init__(
         self,
@@ -76,12 +79,12 @@
         self._order_numbers = itertools.count(1)
 
     def on_receive(self, message: Any) -> None:
-        """Take one message."""
+        """Handle one message of the mailbox."""
         self.handle(message)
 
     @singledispatchmethod
     def handle(self, message: Any) -> None:
-        """Take a message by its kind."""
+        """Dispatch a message by its type."""
         log("message_unexpected", kind=type(message).__name__)
 
     @handle.register
@@ -104,8 +107,9 @@
             msg.link.close()
             return
         if self._epoch is not None and not self._send_fence(msg.link, self._epoch):
-            # Its end was told before its opening: nobody would dial it again, and
-            # the upstream would count as dead until the planner restarts.
+            # The link closed before it was attached, so its LinkLost has already been
+            # handled. Without this the upstream would not be dialed again and would
+            # count as dead until the planner restarts.
             self._fleet.detach(msg.upstream, msg.link)
 
     @handle.register
@@ -137,7 +141,7 @@
     @_handle_sidecar.register
     def _(self, msg: Inventory, upstream: Upstream) -> None:
         if msg.upstream != upstream:
-            log("holdings_of_another", upstream=upstream, named=msg.upstream)
+            log("inventory_mismatch", upstream=upstream, named=msg.upstream)
             return
         if self._epoch is not None and msg.epoch > self._epoch:
             self._lease.observe_epoch(msg.epoch)
@@ -187,8 +191,8 @@
                 self._dialer.dial(member.info)
 
     def _send_fence(self, link: Link, epoch: Epoch) -> bool:
-        # Until a sidecar has refused older epochs, an order of the last holder may
-        # change what it holds; its holdings count from then on only.
+        # An order of the previous leader may change the copies of a sidecar until the
+        # sidecar refuses older epochs. Only inventories reported after that count.
         order_id = self._new_order_id(epoch)
         order = Order(order_id, epoch, Action.FENCE.value, Model(""), None, "", 0.0)
         return link.send(order)
@@ -212,8 +216,8 @@
         base, adapter = self._copy_id(move, entry is None)
         if member.link is None or base is None:
             return
-        # A process that was frozen since the round began must not act on it: its
-        # orders would reach sidecars that another planner counts on.
+        # The process may have been paused since the round began. Its orders would then
+        # change copies on which another planner relies.
         if not self._may_send(move, epoch):
             return
         action = Action.LOAD if move.is_load else Action.UNLOAD
@@ -231,7 +235,7 @@
         )
 
     def _copy_id(self, move: Move, absent: bool) -> tuple[Model | None, Adapter | None]:
-        """Return the base and adapter by which the sidecar knows the copy."""
+        """Return the base model and adapter that identify the copy at the sidecar."""
         if not absent:
             base = self._catalog.models[move.model].base
             if base is None:
--- a/src/persimmonhitch/planner/round.py
+++ b/src/persimmonhitch/planner/round.py
@@ -1,4 +1,4 @@
-"""One round of the planner: from the fleet's state to the moves that may start."""
+"""One planning round: turns the state of the fleet into moves that may start now."""
 
 from dataclasses import dataclass, field
 
@@ -13,14 +13,14 @@
 
 @dataclass
 class RoundPlanner:
-    """Keeps what the decisions need from one round to the next.
+    """Plans moves and retains the state that later rounds need.
 
     Parameters
     ----------
-    speed : float
-        Tokens a second that one upstream gives.
+    upstream_tokens : float
+        Tokens per second that one upstream generates.
     pacer : LoadPacer
-        The weight store's pace.
+        Limits the concurrent loads from the weight store.
     """
 
     upstream_tokens: float
@@ -34,7 +34,7 @@
     def needs(
         self, catalog: Catalog, reported: dict[Model, float], now: float
     ) -> dict[Model, ModelRequirement]:
-        """Return every model of the catalog with its demand and copies wanted."""
+        """Return the demand and the number of copies for each model of the catalog."""
         entries = catalog.models
         bases = {m: e.base for m, e in entries.items() if e.base is not None}
         demand = self.counts.smooth({m: reported.get(m, 0.0) for m in entries}, now)
@@ -59,7 +59,7 @@
         pending: set[LoadTarget],
         now: float,
     ) -> list[Move]:
-        """Return the moves to order now; places with an open order are left out."""
+        """Return the moves to order now, except where an order is pending."""
         planned = make_plan(needs, targets, self.upstream_tokens)
         self._log_unplaced(planned.unplaced)
         blocked = self.retry.blocked_targets(now) | pending
@@ -81,7 +81,7 @@
 def _repeated_loads(
     needs: dict[Model, ModelRequirement], targets: list[PlacementTarget]
 ) -> list[Move]:
-    """Return loads that a sidecar has reserved for; they may have been lost."""
+    """Return the loads in progress, to be ordered again in case an order was lost."""
     return [
         Move(True, model, target.upstream, placed.revision, Reason.UNREACHABLE)
         for target in targets
--- a/src/persimmonhitch/planner/settings.py
+++ b/src/persimmonhitch/planner/settings.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class PlannerSettings:
-    """What the operator sets for one planner."""
+    """Settings of one planner."""
 
     vm: str = setting("vm", "name", "name of this VM in the platform's list")
     zone: str = setting("vm", "zone", "availability zone of this VM")
