--- a/src/persimmonhitch/decide/eviction.py
+++ b/src/persimmonhitch/decide/eviction.py
@@ -104,7 +104,7 @@
         if space + EPSILON >= need.memory:
             return []
         evicted: list[Model] = []
-        for model in self.moves.by_demand(target):
+        for model in self.moves.models_by_demand(target):
             group = [*self.state.adapters_at(model, target), model]
             group = [m for m in group if m not in evicted]
             if model in evicted or model == need.base:
@@ -151,7 +151,7 @@
         shortfall = need.memory - self.state.free[source.upstream]
         relocations: list[tuple[ModelRequirement, Upstream]] = []
         used: set[Upstream] = {source.upstream}
-        for model in self.moves.by_demand(source):
+        for model in self.moves.models_by_demand(source):
             moved = self.state.needs.get(model)
             if moved is None or self.state.adapters_at(model, source):
                 continue
--- a/src/persimmonhitch/decide/moves.py
+++ b/src/persimmonhitch/decide/moves.py
@@ -89,7 +89,7 @@
         """Return whether a target has too much traffic to relieve a hotspot."""
         return self.state.traffic[target.upstream] >= self.rate * RELIEF_TARGET_LOAD
 
-    def by_demand(self, target: PlacementTarget) -> list[Model]:
+    def models_by_demand(self, target: PlacementTarget) -> list[Model]:
         """Return the models of a target by increasing demand per copy."""
         return sorted(target.copies, key=lambda model: self.state.copy_demand(model))
 
--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -96,7 +96,7 @@
         zones[self.local.zone].append(self.local)
         for member in members:
             zones[member.zone].append(member)
-        self._zones = {zone: sorted(found, key=_rank) for zone, found in zones.items()}
+        self._zones = {zone: sorted(group, key=_rank) for zone, group in zones.items()}
 
     def record_message(self, vm: Vm, direction: RelayDirection, now: float) -> None:
         """Record a message of a neighbour."""
@@ -127,14 +127,14 @@
 
     def rank(self) -> int:
         """Return the number of entries in the fleet that precede this one."""
-        members = [member for found in self._zones.values() for member in found]
+        members = [member for group in self._zones.values() for member in group]
         return sum(_rank(member) < _rank(self.local) for member in members)
 
     def _ranks_after(self, vm: Vm, now: float) -> bool:
         """Return whether a neighbour follows this entry in order or is unresponsive."""
         if now - self._received_at.get(vm, -math.inf) > UNRESPONSIVE_AFTER_S:
             return True
-        members = [member for found in self._zones.values() for member in found]
+        members = [member for group in self._zones.values() for member in group]
         preceding = [m for m in members if m.vm == vm and _rank(m) < _rank(self.local)]
         return not preceding
 
@@ -143,8 +143,10 @@
         return now - max(self._received_at.get(vm, since), since) > UNRESPONSIVE_AFTER_S
 
     def _recent_senders(self, direction: RelayDirection, now: float) -> frozenset[Vm]:
-        seen = self._senders[direction]
-        return frozenset(vm for vm, at in seen.items() if now - at <= NEIGHBOUR_TTL_S)
+        senders = self._senders[direction]
+        return frozenset(
+            vm for vm, at in senders.items() if now - at <= NEIGHBOUR_TTL_S
+        )
 
     def _other_roots(
         self, is_root: bool, awaited: dict[Vm, float], now: float
--- a/src/persimmonhitch/decide/pacing.py
+++ b/src/persimmonhitch/decide/pacing.py
@@ -48,8 +48,8 @@
     max_adapters_loading: int
     round_interval_s: float = 0.0
     """Seconds between rounds of the planner; unused starts of this time are saved."""
-    _starts: float = 1.0
-    _last_at: float | None = None
+    _saved_starts: float = 1.0
+    _updated_at: float | None = None
 
     def admit(
         self,
@@ -70,16 +70,16 @@
                 yield move
                 continue
             is_adapter = move.model in adapters
-            if free_slots[is_adapter] > 0 and self._starts >= 1.0:
+            if free_slots[is_adapter] > 0 and self._saved_starts >= 1.0:
                 free_slots[is_adapter] -= 1
-                self._starts -= 1.0
+                self._saved_starts -= 1.0
                 yield move
 
     def _refill(self, now: float) -> None:
-        elapsed = 0.0 if self._last_at is None else max(0.0, now - self._last_at)
+        elapsed = 0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
         max_starts = max(1.0, self.rate * max(BURST_S, self.round_interval_s))
-        self._starts = min(max_starts, self._starts + elapsed * self.rate)
-        self._last_at = now
+        self._saved_starts = min(max_starts, self._saved_starts + elapsed * self.rate)
+        self._updated_at = now
 
 
 @dataclass
--- a/src/persimmonhitch/decide/placement.py
+++ b/src/persimmonhitch/decide/placement.py
@@ -165,7 +165,7 @@
             self._relieve(self.state.targets[upstream])
 
     def _relieve(self, source: PlacementTarget) -> None:
-        for model in reversed(self.moves.by_demand(source)):
+        for model in reversed(self.moves.models_by_demand(source)):
             need = self.state.needs.get(model)
             if need is None or self.state.loading[model]:
                 continue
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -189,8 +189,8 @@
         if model not in specs or state.copies.get(model):
             continue
         free = [engine for engine in state.engines if engine.busy_s <= 0]
-        found = [_plan(state, engine, model) for engine in free]
-        moves = [move for move in found if move and (cold_allowed or not move.cold)]
+        plans = [_plan(state, engine, model) for engine in free]
+        moves = [move for move in plans if move and (cold_allowed or not move.cold)]
         if moves:
             return min(moves, key=lambda move: (move.cold, _evicted_value(state, move)))
     return None
--- a/src/persimmonhitch/store/registration.py
+++ b/src/persimmonhitch/store/registration.py
@@ -50,9 +50,9 @@
         """Stop writing and delete the record, as part of a clean shutdown."""
         self._stopping.set()
         self._changed.set()
-        found = self._store.get(self._kind, self._name)
-        if isinstance(found, Success):
-            self._store.delete(found.unwrap())
+        current = self._store.get(self._kind, self._name)
+        if isinstance(current, Success):
+            self._store.delete(current.unwrap())
 
     def _run(self) -> None:
         while not self._stopping.is_set():
@@ -74,8 +74,8 @@
         if created.failure().error is not StoreError.EXISTS:
             log("register_failed", name=self._name, detail=created.failure().detail)
             return False
-        found = self._store.get(self._kind, self._name)
-        return isinstance(found, Success) and self._replace(found.unwrap(), spec)
+        current = self._store.get(self._kind, self._name)
+        return isinstance(current, Success) and self._replace(current.unwrap(), spec)
 
     def _replace(self, old: StoredObject, spec: Spec) -> bool:
         # Retain keys set by other writers, such as an operator's request to drain.
