--- a/src/persimmonhitch/entry/admitted.py
+++ b/src/persimmonhitch/entry/admitted.py
@@ -10,11 +10,11 @@
 from ..wire.messages import Priority
 from .calls import Call
 
-WITHDRAWN: Final = Failure(ErrorCode.UNAUTHENTICATED, "the key was withdrawn")
+KEY_WITHDRAWN: Final = Failure(ErrorCode.UNAUTHENTICATED, "the key was withdrawn")
 
 
 @dataclass(frozen=True)
-class Admitted:
+class AdmittedCall:
     """What the rest of a request's way needs to know of it.
 
     ``deadline_at`` is monotonic seconds. ``disconnected`` says whether the caller
@@ -25,7 +25,7 @@
     request: RequestId
     account: Account
     call: Call
-    version: Callable[[], ConfigVersion]
+    config_version: Callable[[], ConfigVersion]
     weight: float
     priority: Priority
     cost: Tokens
@@ -33,5 +33,5 @@
     deadline_at: float
     traceparent: str
     disconnected: Callable[[], bool]
-    withdrawn: Callable[[], bool]
+    key_withdrawn: Callable[[], bool]
     reservation: Reservation = NO_RESERVATION
--- a/src/persimmonhitch/entry/answers.py
+++ b/src/persimmonhitch/entry/answers.py
@@ -12,7 +12,7 @@
     "Content-Type": "text/event-stream",
     "Cache-Control": "no-store",
 }
-FRAMING: Final = frozenset({"content-length", "transfer-encoding", "connection"})
+FRAME_HEADERS: Final = frozenset({"content-length", "transfer-encoding", "connection"})
 
 
 def error_body(exc: Failure, request: RequestId) -> dict[str, Any]:
@@ -35,7 +35,7 @@
     return json_answer(exc.http_status, error_body(exc, request), **extra)
 
 
-def refused_unread(status: int) -> Answer:
+def unreadable_answer(status: int) -> Answer:
     """Return the answer to a request that the server could not read."""
     too_large = status == HTTP_STATUS[ErrorCode.TOO_LARGE]
     code = ErrorCode.TOO_LARGE if too_large else ErrorCode.BAD_REQUEST
@@ -48,10 +48,10 @@
     return b"data: " + json.dumps(error_body(exc, request)).encode() + b"\n\n"
 
 
-def passed_answer(
+def upstream_answer(
     status: int, headers: dict[str, str], body: bytes, request: RequestId
 ) -> Answer:
     """Return an upstream's whole answer."""
-    kept = {name: text for name, text in headers.items() if name not in FRAMING}
-    own = {"Content-Length": str(len(body)), "X-Request-Id": str(request)}
-    return Answer(status, {**kept, **own}, [body])
+    forwarded = {k: v for k, v in headers.items() if k not in FRAME_HEADERS}
+    entry_headers = {"Content-Length": str(len(body)), "X-Request-Id": str(request)}
+    return Answer(status, {**forwarded, **entry_headers}, [body])
--- a/src/persimmonhitch/entry/app.py
+++ b/src/persimmonhitch/entry/app.py
@@ -49,14 +49,14 @@
         self._ready = ready
         self._version = version
         self._refusal = refusal
-        self.leaving = threading.Event()
+        self.draining = threading.Event()
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Body:
         """Answer one request."""
         request = new_request_id()
-        return self._guarded(environ, request).send(start_response)
+        return self._answer(environ, request).send(start_response)
 
-    def _guarded(self, environ: Environ, request: RequestId) -> Answer:
+    def _answer(self, environ: Environ, request: RequestId) -> Answer:
         try:
             result = read_request(environ)
             if not isinstance(result, Success):
@@ -78,31 +78,31 @@
                 data = self._metrics.render()
                 return Answer(200, {"Content-Type": CONTENT_TYPE}, [data])
             case "GET", str(path) if path == MODELS_PATH:
-                return self._models(req, request)
+                return self._list_models(req, request)
             case "POST", str(path) if path == CHAT_PATH:
-                return self._call(req, request)
+                return self._handle_call(req, request)
         if req.path.startswith(SERVICE_PREFIX):
-            return self._call(req, request)
+            return self._handle_call(req, request)
         failure = Failure(ErrorCode.NOT_FOUND, f"no {req.method} {req.path} here")
         return failure_answer(failure, request)
 
     def _readiness(self) -> Answer:
-        ready = self._ready() and not self.leaving.is_set()
+        ready = self._ready() and not self.draining.is_set()
         status = "ready" if ready else "not ready"
         body = {"status": status, "version": self._version()}
         return json_answer(200 if ready else 503, body)
 
-    def _call(self, req: Request, request: RequestId) -> Answer:
+    def _handle_call(self, req: Request, request: RequestId) -> Answer:
         if not self._ready():
             reason = "no configuration is in force here yet"
             failure = Failure(ErrorCode.STORE_UNAVAILABLE, reason, retry_after=1.0)
             return failure_answer(failure, request)
-        full = self._refusal()
-        if full is not None:
-            return failure_answer(full, request)
+        refusal = self._refusal()
+        if refusal is not None:
+            return failure_answer(refusal, request)
         return self._gateway.handle(req, request)
 
-    def _models(self, req: Request, request: RequestId) -> Answer:
+    def _list_models(self, req: Request, request: RequestId) -> Answer:
         result = self._gateway.account_of(req)
         if not isinstance(result, Success):
             return failure_answer(result.failure(), request)
--- a/src/persimmonhitch/entry/calls.py
+++ b/src/persimmonhitch/entry/calls.py
@@ -21,12 +21,12 @@
 PRIORITY_HEADER: Final = "x-request-priority"
 IDEMPOTENCY_HEADER: Final = "idempotency-key"
 MAX_IDEMPOTENCY_KEY: Final = 255
-MOST_MAX_TOKENS: Final = 32768
-HOP_HEADERS: Final = frozenset(
+MAX_TOKENS_LIMIT: Final = 32768
+HOP_BY_HOP_HEADERS: Final = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te"}
     | {"trailer", "transfer-encoding", "upgrade", "host", "content-length", "expect"}
 )
-OWN_HEADERS: Final = frozenset(
+ENTRY_HEADERS: Final = frozenset(
     {"authorization", "cookie", "traceparent", "tracestate", "x-request-id"}
     | {TIMEOUT_HEADER, PRIORITY_HEADER}
 )
@@ -47,7 +47,7 @@
     body: bytes
     stream: bool
     max_tokens: int
-    timeout: float
+    timeout_s: float
     priority: Priority | None
     idempotency_key: str
 
@@ -58,11 +58,11 @@
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _bad(message: str) -> Err[Failure]:
+def _invalid(message: str) -> Err[Failure]:
     return Err(Failure(ErrorCode.BAD_REQUEST, message))
 
 
-def read_timeout(req: Request, default: float, most: float) -> Result[float, Failure]:
+def read_timeout(req: Request, default: float, limit: float) -> Result[float, Failure]:
     """Return the seconds that the caller is willing to wait."""
     text = req.headers.get(TIMEOUT_HEADER)
     if text is None:
@@ -71,8 +71,8 @@
         value = float(text)
     except ValueError:
         value = math.nan
-    if not 0 < value <= most:
-        return _bad(f"{TIMEOUT_HEADER} is seconds above 0 and at most {most:g}")
+    if not 0 < value <= limit:
+        return _invalid(f"{TIMEOUT_HEADER} is seconds above 0 and at most {limit:g}")
     return Success(value)
 
 
@@ -83,17 +83,17 @@
     try:
         return Success(Priority(text.lower()))
     except ValueError:
-        return _bad(f"{PRIORITY_HEADER} is interactive or batch")
+        return _invalid(f"{PRIORITY_HEADER} is interactive or batch")
 
 
-def clean_headers(headers: dict[str, str], key: str) -> dict[str, str]:
+def forwarded_headers(headers: dict[str, str], key: str) -> dict[str, str]:
     """Return the headers that go on to the upstream.
 
     A header that carries the key would show it to the upstream and to its logs,
     where anyone who reads them could call in the account's name.
     """
-    named = headers.get("connection", "").lower().replace(" ", "").split(",")
-    dropped = HOP_HEADERS | OWN_HEADERS | frozenset(named)
+    hop_names = headers.get("connection", "").lower().replace(" ", "").split(",")
+    dropped = HOP_BY_HOP_HEADERS | ENTRY_HEADERS | frozenset(hop_names)
     return {
         name: text
         for name, text in headers.items()
@@ -101,29 +101,29 @@
     }
 
 
-def clean_query(query: str, key: str) -> str:
+def forwarded_query(query: str, key: str) -> str:
     """Return the query without the parts that carry the key."""
     parts = [part for part in query.split("&") if part]
     return "&".join(p for p in parts if not (key and key in unquote(p)))
 
 
-def read_call(req: Request, default: float, most: float) -> Result[Call, Failure]:
+def read_call(req: Request, default: float, limit: float) -> Result[Call, Failure]:
     """Return the call of a request, or what is wrong with it."""
-    timeout = read_timeout(req, default, most)
+    timeout = read_timeout(req, default, limit)
     if not isinstance(timeout, Success):
         return Err(timeout.failure())
     priority = _read_priority(req)
     if not isinstance(priority, Success):
         return Err(priority.failure())
-    token = req.headers.get(IDEMPOTENCY_HEADER, "")
-    if len(token) > MAX_IDEMPOTENCY_KEY:
-        return _bad(
+    idempotency_key = req.headers.get(IDEMPOTENCY_HEADER, "")
+    if len(idempotency_key) > MAX_IDEMPOTENCY_KEY:
+        return _invalid(
             f"{IDEMPOTENCY_HEADER} has at most {MAX_IDEMPOTENCY_KEY} characters"
         )
     key = bearer_key(req)
     if key and (key.encode() in req.body or key in unquote(req.path)):
-        return _bad("the key may stand in the Authorization header only")
-    common = _Common(req, key, timeout.unwrap(), priority.unwrap(), token)
+        return _invalid("the key may stand in the Authorization header only")
+    common = _Common(req, key, timeout.unwrap(), priority.unwrap(), idempotency_key)
     if req.path == CHAT_PATH:
         return _read_chat(common)
     return _read_service(common)
@@ -133,7 +133,7 @@
 class _Common:
     req: Request
     key: str
-    timeout: float
+    timeout_s: float
     priority: Priority | None
     idempotency_key: str
 
@@ -143,25 +143,25 @@
     name, _, path = req.path.removeprefix(SERVICE_PREFIX).partition("/")
     if not name:
         return Err(Failure(ErrorCode.NOT_FOUND, "no service is named"))
-    query = clean_query(req.query, common.key)
+    query = forwarded_query(req.query, common.key)
     return Success(
         Call(
             model=Model(""),
             service=Service(unquote(name)),
             method=req.method,
             path=f"/{path}" + (f"?{query}" if query else ""),
-            headers=clean_headers(req.headers, common.key),
+            headers=forwarded_headers(req.headers, common.key),
             body=req.body,
             stream=False,
             max_tokens=0,
-            timeout=common.timeout,
+            timeout_s=common.timeout_s,
             priority=common.priority,
             idempotency_key=common.idempotency_key,
         )
     )
 
 
-def _chat_mistake(body: Any) -> str | None:
+def _chat_error(body: Any) -> str | None:
     if not isinstance(body, dict):
         return "the body is a JSON object"
     if not isinstance(body.get("model"), str) or not body["model"]:
@@ -172,8 +172,8 @@
     if not all(isinstance(m, dict) and "role" in m for m in messages):
         return "each message is an object with a role"
     limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
-    if type(limit) is not int or not 1 <= limit <= MOST_MAX_TOKENS:
-        return f"max_tokens is a whole number from 1 to {MOST_MAX_TOKENS}"
+    if type(limit) is not int or not 1 <= limit <= MAX_TOKENS_LIMIT:
+        return f"max_tokens is a whole number from 1 to {MAX_TOKENS_LIMIT}"
     if not isinstance(body.get("stream", False), bool):
         return "stream is true or false"
     return None
@@ -184,14 +184,14 @@
     try:
         body = json.loads(req.body)
     except (ValueError, RecursionError):
-        return _bad("the body is not JSON")
-    mistake = _chat_mistake(body)
-    if mistake is not None:
-        return _bad(mistake)
+        return _invalid("the body is not JSON")
+    error = _chat_error(body)
+    if error is not None:
+        return _invalid(error)
     limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     # The limit goes to the engine in any case: an answer longer than what was
     # reserved would take the account above its rate.
-    sent = {**body, "max_tokens": limit}
+    forwarded = {**body, "max_tokens": limit}
     return Success(
         Call(
             model=Model(body["model"]),
@@ -199,10 +199,10 @@
             method="POST",
             path=CHAT_PATH,
             headers={"content-type": "application/json"},
-            body=json.dumps(sent).encode(),
+            body=json.dumps(forwarded).encode(),
             stream=body.get("stream", False),
             max_tokens=limit,
-            timeout=common.timeout,
+            timeout_s=common.timeout_s,
             priority=common.priority,
             idempotency_key=common.idempotency_key,
         )
--- a/src/persimmonhitch/entry/exchange.py
+++ b/src/persimmonhitch/entry/exchange.py
@@ -9,12 +9,12 @@
 from ..ids import RequestId
 from ..wire.messages import Chunk, End, Fail, Head
 
-MOST_UNREAD: Final = 256 * 1024
-LEAST_UNREAD: Final = 64 * 1024
+MAX_UNREAD_BYTES: Final = 256 * 1024
+RESUME_UNREAD_BYTES: Final = 64 * 1024
 """Bytes of one answer that wait for its caller: 60 streams take 15 MiB at most."""
 
 
-def _no_flow(_go_on: bool) -> None:
+def _ignore_flow(_resume: bool) -> None:
     return
 
 
@@ -39,29 +39,29 @@
     request: RequestId
     attempt: int
     next_chunk: int = 0
-    have_head: bool = False
-    dropped: int = 0
-    flow: Callable[[bool], None] = _no_flow
+    head_received: bool = False
+    dropped_frames: int = 0
+    on_flow: Callable[[bool], None] = _ignore_flow
     """Told False when the caller does not keep up, True when it does again."""
-    _unread: int = 0
-    _stopped: bool = False
+    _unread_bytes: int = 0
+    _paused: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
     _frames: "queue.SimpleQueue[Incoming]" = field(default_factory=queue.SimpleQueue)
 
     def put(self, frame: Head | Chunk | End | Fail) -> bool:
         """Take a frame; return False when it is not this attempt's next one."""
-        if not self._fits(frame):
-            self.dropped += 1
+        if not self._is_next(frame):
+            self.dropped_frames += 1
             return False
         if isinstance(frame, Head):
-            self.have_head = True
+            self.head_received = True
         if isinstance(frame, Chunk):
             self.next_chunk += 1
-            self._count(len(frame.data))
+            self._add_unread(len(frame.data))
         self._frames.put(frame)
         return True
 
-    def _count(self, size: int) -> None:
+    def _add_unread(self, size: int) -> None:
         """Keep unread bytes in bounds.
 
         A caller that reads slowly would else have its whole answer stand in this
@@ -69,25 +69,25 @@
         every other answer on it.
         """
         with self._lock:
-            self._unread += size
-            too_many = not self._stopped and self._unread > MOST_UNREAD
-            read = self._stopped and self._unread < LEAST_UNREAD
-            self._stopped = (self._stopped or too_many) and not read
-        if too_many or read:
-            self.flow(read)
-
-    def _fits(self, frame: Head | Chunk | End | Fail) -> bool:
+            self._unread_bytes += size
+            pause = not self._paused and self._unread_bytes > MAX_UNREAD_BYTES
+            resume = self._paused and self._unread_bytes < RESUME_UNREAD_BYTES
+            self._paused = (self._paused or pause) and not resume
+        if pause or resume:
+            self.on_flow(resume)
+
+    def _is_next(self, frame: Head | Chunk | End | Fail) -> bool:
         if frame.request != self.request or frame.attempt != self.attempt:
             return False
         if isinstance(frame, Head):
-            return not self.have_head
+            return not self.head_received
         if isinstance(frame, Chunk):
-            return self.have_head and frame.seq == self.next_chunk
+            return self.head_received and frame.seq == self.next_chunk
         if isinstance(frame, End):
-            return self.have_head and frame.chunk_count == self.next_chunk
+            return self.head_received and frame.chunk_count == self.next_chunk
         return True
 
-    def lose(self) -> None:
+    def on_link_lost(self) -> None:
         """Note that the link ended."""
         self._frames.put(LinkLost())
 
@@ -98,5 +98,5 @@
         except queue.Empty:
             return None
         if isinstance(frame, Chunk):
-            self._count(-len(frame.data))
+            self._add_unread(-len(frame.data))
         return frame
--- a/src/persimmonhitch/entry/gateway.py
+++ b/src/persimmonhitch/entry/gateway.py
@@ -18,11 +18,11 @@
 from ..verdict import ErrorCode, Failure, Verdict
 from ..web import Answer, Request
 from ..wire.messages import Priority
-from .admitted import Admitted
-from .answers import STREAM_HEADERS, failure_answer, passed_answer
+from .admitted import AdmittedCall
+from .answers import STREAM_HEADERS, failure_answer, upstream_answer
 from .calls import CHAT_PATH, Call, bearer_key, read_call
-from .forward import Forwarder, Streaming, Whole
-from .once import CallRecords, Permit
+from .forward import Forwarder, FullReply, StreamingReply
+from .idempotency import IdempotencyRecords, Permit
 from .stream import StreamBody
 
 
@@ -39,20 +39,20 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class Timeouts:
     """Timeouts of callers, in seconds."""
 
-    default_timeout: float
-    most_timeout: float
+    default_s: float
+    max_s: float
 
 
 @dataclass(frozen=True)
-class _Open:
+class _Context:
     """A request under way: what its end has to settle."""
 
     request: RequestId
     account: Account
-    began: float
+    start: float
     route: str
     hop: Hop
     reservation: Reservation
@@ -63,15 +63,15 @@
 
     def __init__(
         self,
-        limits: Limits,
+        timeouts: Timeouts,
         catalog: Callable[[], Catalog],
         limiter: Limiter,
         forwarder: Forwarder,
-        records: CallRecords,
+        records: IdempotencyRecords,
         metrics: Metrics,
         traces: Traces,
     ) -> None:
-        self._limits = limits
+        self._timeouts = timeouts
         self._catalog = catalog
         self._limiter = limiter
         self._forwarder = forwarder
@@ -93,135 +93,135 @@
 
     def handle(self, req: Request, request: RequestId) -> Answer:
         """Answer one call."""
-        began = time.monotonic()
+        start = time.monotonic()
         route = "chat" if req.path == CHAT_PATH else "service"
         self._metrics.request_started(route)
         parent = self._traces.resample(req.headers.get("traceparent", ""))
         hop = self._traces.start(HopName.ENTRY, parent, request=request, route=route)
         admitted = self._admit(req, request, hop)
         if not isinstance(admitted, Success):
-            self._close(None, route, hop, began, admitted.failure(), 0)
+            self._record_end(None, route, hop, start, admitted.failure(), 0)
             return failure_answer(admitted.failure(), request)
-        return self._serve(admitted.unwrap(), route, hop, began)
+        return self._run(admitted.unwrap(), route, hop, start)
 
     def _admit(
         self, req: Request, request: RequestId, hop: Hop
-    ) -> Result[Admitted, Failure]:
+    ) -> Result[AdmittedCall, Failure]:
         account = self.account_of(req)
         if not isinstance(account, Success):
             return Err(account.failure())
-        limits = self._limits
-        read = read_call(req, limits.default_timeout, limits.most_timeout)
-        if not isinstance(read, Success):
-            return Err(read.failure())
-        call = read.unwrap()
+        timeouts = self._timeouts
+        parsed = read_call(req, timeouts.default_s, timeouts.max_s)
+        if not isinstance(parsed, Success):
+            return Err(parsed.failure())
+        call = parsed.unwrap()
         catalog = self._catalog()
         plan = catalog.plan_of(account.unwrap())
-        refusal = _not_permitted(catalog, plan, call)
+        refusal = _access_failure(catalog, plan, call)
         if refusal is not None or plan is None:
             return Err(refusal or Failure(ErrorCode.NOT_PERMITTED, "no plan"))
         hop.set(account=account.unwrap(), model=call.model, service=call.service or "")
         return Success(
-            Admitted(
+            AdmittedCall(
                 request=request,
                 account=account.unwrap(),
                 call=call,
-                version=lambda: self._catalog().version,
+                config_version=lambda: self._catalog().version,
                 weight=plan.weight,
                 priority=_priority(plan, call),
                 cost=_cost(catalog, call),
                 repeatable=_repeatable(catalog, call),
-                deadline_at=time.monotonic() + call.timeout,
+                deadline_at=time.monotonic() + call.timeout_s,
                 traceparent=hop.traceparent,
                 disconnected=req.disconnected,
-                withdrawn=lambda: not isinstance(self.account_of(req), Success),
+                key_withdrawn=lambda: not isinstance(self.account_of(req), Success),
             )
         )
 
-    def _serve(self, req: Admitted, route: str, hop: Hop, began: float) -> Answer:
-        left = req.deadline_at - time.monotonic()
-        reserved = self._limiter.reserve(req.account, req.cost, left)
+    def _run(self, req: AdmittedCall, route: str, hop: Hop, start: float) -> Answer:
+        remaining_s = req.deadline_at - time.monotonic()
+        reserved = self._limiter.reserve(req.account, req.cost, remaining_s)
         if not isinstance(reserved, Success):
-            self._close(req.account, route, hop, began, reserved.failure(), 0)
+            self._record_end(req.account, route, hop, start, reserved.failure(), 0)
             return failure_answer(reserved.failure(), req.request)
-        self._metrics.queue_time(req.account, time.monotonic() - began)
+        self._metrics.queue_time(req.account, time.monotonic() - start)
         reservation = reserved.unwrap()
-        opened = _Open(req.request, req.account, began, route, hop, reservation)
+        ctx = _Context(req.request, req.account, start, route, hop, reservation)
         req = replace(req, reservation=reservation)
         if req.call.idempotency_key and not req.repeatable:
-            return self._once(req, opened)
-        return self._reply(req, opened)
-
-    def _once(self, req: Admitted, opened: _Open) -> Answer:
-        begun = self._records.begin(req.account, req.call, req.request)
-        if not isinstance(begun, Success):
-            return self._whole(opened, Err(begun.failure()))
-        permit = begun.unwrap()
-        if isinstance(permit, Whole):
-            return self._whole(opened, Success(permit))
+            return self._run_once(req, ctx)
+        return self._forward(req, ctx)
+
+    def _run_once(self, req: AdmittedCall, ctx: _Context) -> Answer:
+        claim = self._records.begin(req.account, req.call, req.request)
+        if not isinstance(claim, Success):
+            return self._answer(ctx, Err(claim.failure()))
+        permit = claim.unwrap()
+        if isinstance(permit, FullReply):
+            return self._answer(ctx, Success(permit))
         assert isinstance(permit, Permit)
         result = self._forwarder.run(req)
-        whole = result.map(_must_be_whole)
-        self._records.finish(permit, whole)
-        return self._whole(opened, whole)
+        full = result.map(_as_full_reply)
+        self._records.finish(permit, full)
+        return self._answer(ctx, full)
 
-    def _reply(self, req: Admitted, opened: _Open) -> Answer:
+    def _forward(self, req: AdmittedCall, ctx: _Context) -> Answer:
         result = self._forwarder.run(req)
         if not isinstance(result, Success):
-            return self._whole(opened, Err(result.failure()))
+            return self._answer(ctx, Err(result.failure()))
         reply = result.unwrap()
-        if isinstance(reply, Whole):
-            return self._whole(opened, Success(reply))
+        if isinstance(reply, FullReply):
+            return self._answer(ctx, Success(reply))
         headers = {**STREAM_HEADERS, "X-Request-Id": str(req.request)}
-        return Answer(reply.status, headers, self._stream(opened, reply))
+        return Answer(reply.status, headers, self._stream_body(ctx, reply))
 
-    def _whole(self, opened: _Open, result: Result[Whole, Failure]) -> Answer:
+    def _answer(self, ctx: _Context, result: Result[FullReply, Failure]) -> Answer:
         if not isinstance(result, Success):
             exc = result.failure()
-            self._settle(opened, exc, None)
-            return failure_answer(exc, opened.request)
-        whole = result.unwrap()
-        self._settle(opened, None, whole.used, whole.status)
-        return passed_answer(whole.status, whole.headers, whole.body, opened.request)
-
-    def _stream(self, opened: _Open, reply: Streaming) -> StreamBody:
-        timer = _PartTimer(self._metrics, opened)
+            self._settle(ctx, exc, None)
+            return failure_answer(exc, ctx.request)
+        full = result.unwrap()
+        self._settle(ctx, None, full.tokens, full.status)
+        return upstream_answer(full.status, full.headers, full.body, ctx.request)
+
+    def _stream_body(self, ctx: _Context, reply: StreamingReply) -> StreamBody:
+        timer = _ChunkTimer(self._metrics, ctx)
         return StreamBody(
             reply.frames,
-            opened.request,
-            timer.part,
-            lambda exc, used: self._settle(opened, exc, used),
+            ctx.request,
+            timer.on_chunk,
+            lambda exc, used: self._settle(ctx, exc, used),
         )
 
     def _settle(
         self,
-        opened: _Open,
+        ctx: _Context,
         exc: Failure | None,
         used: Tokens | None,
         status: int = 200,
     ) -> None:
         """Settle the reservation, once, and note the end."""
-        reserved = opened.reservation.tokens
+        reserved = ctx.reservation.tokens
         if exc is not None and exc.verdict is Verdict.NOT_RUN:
             used = Tokens(0.0)
         # An answer cut short may have cost all that was reserved; giving back
         # less than that could take the account above its rate.
         spent = Tokens(min(reserved, reserved if used is None else used))
-        self._limiter.settle(opened.reservation, spent)
-        self._metrics.tokens_used(opened.account, spent)
-        self._close(opened.account, opened.route, opened.hop, opened.began, exc, status)
+        self._limiter.settle(ctx.reservation, spent)
+        self._metrics.tokens_used(ctx.account, spent)
+        self._record_end(ctx.account, ctx.route, ctx.hop, ctx.start, exc, status)
 
-    def _close(
+    def _record_end(
         self,
         account: Account | None,
         route: str,
         hop: Hop,
-        began: float,
+        start: float,
         exc: Failure | None,
         status: int,
     ) -> None:
         code = status if exc is None else exc.http_status
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - start
         self._metrics.request_done(account, route, code, exc, seconds)
         hop.set(status=code)
         if exc is not None:
@@ -229,48 +229,48 @@
         hop.end()
 
 
-class _PartTimer:
+class _ChunkTimer:
     """Times the parts of one streamed answer."""
 
-    def __init__(self, metrics: Metrics, opened: _Open) -> None:
+    def __init__(self, metrics: Metrics, ctx: _Context) -> None:
         self._metrics = metrics
-        self._opened = opened
-        self._last: float | None = None
+        self._ctx = ctx
+        self._last_at: float | None = None
 
-    def part(self) -> None:
+    def on_chunk(self) -> None:
         """Note that a part came."""
         now = time.monotonic()
-        if self._last is None:
-            opened = self._opened
-            self._metrics.first_token(opened.account, now - opened.began)
+        if self._last_at is None:
+            ctx = self._ctx
+            self._metrics.first_token(ctx.account, now - ctx.start)
         else:
-            self._metrics.token_gap(now - self._last)
-        self._last = now
+            self._metrics.token_gap(now - self._last_at)
+        self._last_at = now
 
 
-def _must_be_whole(reply: Whole | Streaming) -> Whole:
-    assert isinstance(reply, Whole)
+def _as_full_reply(reply: FullReply | StreamingReply) -> FullReply:
+    assert isinstance(reply, FullReply)
     return reply
 
 
-def _not_permitted(
+def _access_failure(
     catalog: Catalog, plan: PlanEntry | None, call: Call
 ) -> Failure | None:
     if plan is None:
         return Failure(ErrorCode.NOT_PERMITTED, "the account has no plan")
     if call.service is not None:
-        known = call.service in catalog.services
+        exists = call.service in catalog.services
         allowed = plan.may_use_service(call.service)
         name = f"service {call.service}"
     else:
-        known = call.model in catalog.models
+        exists = call.model in catalog.models
         allowed = plan.may_use_model(call.model)
         name = f"model {call.model}"
     if not allowed:
         # The same words for what exists and what does not, or anybody could
         # list the models of other accounts by trying names.
         return Failure(ErrorCode.NOT_PERMITTED, f"the plan has no {name}")
-    if not known:
+    if not exists:
         return Failure(ErrorCode.NOT_FOUND, f"there is no {name}")
     return None
 
--- a/src/persimmonhitch/entry/once.py
+++ b/src/persimmonhitch/entry/idempotency.py
@@ -24,13 +24,13 @@
 from ..store.objects import Kind, ObjectStore, Spec, StoredObject, StoreError
 from ..verdict import ErrorCode, Failure, Verdict
 from .calls import Call
-from .forward import Whole
+from .forward import FullReply
 
-MOST_KEPT: Final = 64 * 1024
+MAX_STORED_BODY_BYTES: Final = 64 * 1024
 """Bytes of an answer kept for a repeat; the store holds at most 1 MB a value."""
-RETRY_AFTER: Final = 1.0
-STORE_RETRY_AFTER: Final = 5.0
-TIDY_EVERY: Final = 0.5
+RETRY_AFTER_S: Final = 1.0
+STORE_RETRY_AFTER_S: Final = 5.0
+REPAIR_INTERVAL_S: Final = 0.5
 
 
 class RunState(Enum):
@@ -63,12 +63,12 @@
 
 
 def _refuse(
-    code: ErrorCode, message: str, verdict: Verdict, after: float | None
+    code: ErrorCode, message: str, verdict: Verdict, retry_after: float | None
 ) -> Err[Failure]:
-    return Err(Failure(code, message, verdict, after))
+    return Err(Failure(code, message, verdict, retry_after))
 
 
-class CallRecords:
+class IdempotencyRecords:
     """The records of one entry's calls.
 
     Parameters
@@ -80,14 +80,14 @@
     """
 
     def __init__(
-        self, store: ObjectStore, wall: Callable[[], float] = time.time
+        self, store: ObjectStore, wall_clock: Callable[[], float] = time.time
     ) -> None:
         self._store = store
-        self._wall = wall
-        self._untidy: dict[str, tuple[RequestId, Spec]] = {}
+        self._wall_clock = wall_clock
+        self._pending_repairs: dict[str, tuple[RequestId, Spec]] = {}
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self._thread = threading.Thread(target=self._tidy, name="tidy", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="tidy", daemon=True)
 
     def start(self) -> None:
         """Mend records that could not be written at first."""
@@ -99,26 +99,26 @@
 
     def begin(
         self, account: Account, call: Call, request: RequestId
-    ) -> Result[Permit | Whole, Failure]:
+    ) -> Result[Permit | FullReply, Failure]:
         """Return leave to run a call, or the answer that it got before."""
         name = record_name(account, call.idempotency_key)
         spec = {
             "request": request,
             "state": RunState.STARTED.value,
             "fingerprint": fingerprint(call),
-            "at": self._wall(),
+            "at": self._wall_clock(),
         }
         created = self._store.create(Kind.CALL, name, spec)
         if isinstance(created, Success):
             return Success(Permit(created.unwrap()))
-        return self._found(name, spec, request)
+        return self._check_existing(name, spec, request)
 
-    def _found(
+    def _check_existing(
         self, name: str, spec: Spec, request: RequestId
-    ) -> Result[Permit | Whole, Failure]:
+    ) -> Result[Permit | FullReply, Failure]:
         found = self._store.get(Kind.CALL, name)
         if not isinstance(found, Success):
-            return self._away(name, spec, request)
+            return self._unavailable(name, spec, request)
         old = found.unwrap()
         if old.spec["request"] == request:
             # The answer to the create was lost after it took effect.
@@ -130,53 +130,53 @@
             case RunState.DONE:
                 return _replay(old)
             case RunState.NOT_RUN:
-                return self._take_over(old, spec)
+                return self._reclaim(old, spec)
         reason = "a call with this Idempotency-Key was begun and has no known end"
-        return _refuse(ErrorCode.DUPLICATE, reason, Verdict.MAY_HAVE_RUN, RETRY_AFTER)
+        return _refuse(ErrorCode.DUPLICATE, reason, Verdict.MAY_HAVE_RUN, RETRY_AFTER_S)
 
-    def _away(
+    def _unavailable(
         self, name: str, spec: Spec, request: RequestId
-    ) -> Result[Permit | Whole, Failure]:
+    ) -> Result[Permit | FullReply, Failure]:
         # The create may have taken effect although its answer was lost. Left so,
         # the record would call a request that never ran doubtful for ever.
-        self._leave(name, request, {**spec, "state": RunState.NOT_RUN.value})
+        self._schedule_repair(name, request, {**spec, "state": RunState.NOT_RUN.value})
         reason = "the record that keeps this call from running twice is out of reach"
         return _refuse(
-            ErrorCode.STORE_UNAVAILABLE, reason, Verdict.NOT_RUN, STORE_RETRY_AFTER
+            ErrorCode.STORE_UNAVAILABLE, reason, Verdict.NOT_RUN, STORE_RETRY_AFTER_S
         )
 
-    def _take_over(
+    def _reclaim(
         self, old: StoredObject, spec: Spec
-    ) -> Result[Permit | Whole, Failure]:
+    ) -> Result[Permit | FullReply, Failure]:
         updated = self._store.update(old, spec)
         if isinstance(updated, Success):
             return Success(Permit(updated.unwrap()))
         if updated.failure().error is StoreError.UNAVAILABLE:
-            return self._away(old.name, spec, RequestId(str(spec["request"])))
+            return self._unavailable(old.name, spec, RequestId(str(spec["request"])))
         reason = "another call with this Idempotency-Key was begun just now"
-        return _refuse(ErrorCode.DUPLICATE, reason, Verdict.NOT_RUN, RETRY_AFTER)
+        return _refuse(ErrorCode.DUPLICATE, reason, Verdict.NOT_RUN, RETRY_AFTER_S)
 
-    def finish(self, permit: Permit, result: Result[Whole, Failure]) -> None:
+    def finish(self, permit: Permit, result: Result[FullReply, Failure]) -> None:
         """Record how a call ended."""
         old = permit.record
-        spec = _ended(old.spec, result)
+        spec = _final_spec(old.spec, result)
         if not isinstance(self._store.update(old, spec), Success):
-            self._leave(old.name, RequestId(str(old.spec["request"])), spec)
+            self._schedule_repair(old.name, RequestId(str(old.spec["request"])), spec)
 
-    def _leave(self, name: str, request: RequestId, spec: Spec) -> None:
+    def _schedule_repair(self, name: str, request: RequestId, spec: Spec) -> None:
         with self._lock:
-            self._untidy[name] = (request, spec)
+            self._pending_repairs[name] = (request, spec)
 
-    def _tidy(self) -> None:
-        while not self._stopping.wait(TIDY_EVERY):
+    def _run(self) -> None:
+        while not self._stopping.wait(REPAIR_INTERVAL_S):
             with self._lock:
-                work = dict(self._untidy)
-            for name, (request, spec) in work.items():
-                if self._mended(name, request, spec):
+                repairs = dict(self._pending_repairs)
+            for name, (request, spec) in repairs.items():
+                if self._repair(name, request, spec):
                     with self._lock:
-                        self._untidy.pop(name, None)
+                        self._pending_repairs.pop(name, None)
 
-    def _mended(self, name: str, request: RequestId, spec: Spec) -> bool:
+    def _repair(self, name: str, request: RequestId, spec: Spec) -> bool:
         found = self._store.get(Kind.CALL, name)
         if not isinstance(found, Success):
             return found.failure().error is StoreError.NOT_FOUND
@@ -187,28 +187,28 @@
         return isinstance(self._store.update(old, spec), Success)
 
 
-def _ended(old: Spec, result: Result[Whole, Failure]) -> Spec:
+def _final_spec(old: Spec, result: Result[FullReply, Failure]) -> Spec:
     if not isinstance(result, Success):
         not_run = result.failure().verdict is Verdict.NOT_RUN
         state = RunState.NOT_RUN if not_run else RunState.STARTED
         return {**old, "state": state.value}
-    whole = result.unwrap()
+    reply = result.unwrap()
     spec: dict[str, Any] = {
         **old,
         "state": RunState.DONE.value,
-        "status": whole.status,
-        "headers": whole.headers,
+        "status": reply.status,
+        "headers": reply.headers,
     }
-    if len(whole.body) <= MOST_KEPT:
-        spec["body"] = base64.b64encode(whole.body).decode()
+    if len(reply.body) <= MAX_STORED_BODY_BYTES:
+        spec["body"] = base64.b64encode(reply.body).decode()
     return spec
 
 
-def _replay(old: StoredObject) -> Result[Permit | Whole, Failure]:
+def _replay(old: StoredObject) -> Result[Permit | FullReply, Failure]:
     spec = old.spec
     if "body" not in spec:
         reason = "this call ran; its answer was too long to keep"
         return _refuse(ErrorCode.DUPLICATE, reason, Verdict.RAN, None)
     body = base64.b64decode(spec["body"])
     headers = {**spec["headers"], "idempotency-replayed": "true"}
-    return Success(Whole(int(spec["status"]), headers, body, Tokens(0.0)))
+    return Success(FullReply(int(spec["status"]), headers, body, Tokens(0.0)))
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -32,12 +32,12 @@
 from ..verdict import Failure
 from ..web import WebServer
 from ..wire.messages import PROTOCOL, Hello, Role
-from .answers import refused_unread
+from .answers import unreadable_answer
 from .app import EntryApp
-from .borrowed import BorrowedSidecars
 from .forward import Forwarder
-from .gateway import Gateway, Limits
-from .once import CallRecords
+from .gateway import Gateway, Timeouts
+from .idempotency import IdempotencyRecords
+from .peer_sidecars import PeerSidecars
 from .peers import PeerMesh
 from .pool import SidecarPool
 from .router import Router
@@ -61,9 +61,9 @@
             store,
             self.limiter,
             lambda: (peer.vm for peer in self.mesh.peers()),
-            self._tell_revoked,
+            self._broadcast_revoked,
         )
-        self.mesh.on(ShareRevoked, lambda _vm, msg: self.pool.tell_all(msg))
+        self.mesh.on(ShareRevoked, lambda _vm, msg: self.pool.broadcast(msg))
         rng = random.Random()
         self.sync = CatalogSync(store, self.mesh, Vm(cfg.vm), Region(cfg.region), rng)
         self.sync.feed.add_listener(self._on_catalog)
@@ -71,17 +71,17 @@
         self.sidecars = Watcher(store, Kind.SIDECAR, self.pool.update)
         self.vms = Watcher(store, Kind.VM, self.pool.update_vms)
         self.entries = Watcher(store, Kind.ENTRY, self.mesh.update_entries)
-        self.borrowed = BorrowedSidecars(
+        self.fallback = PeerSidecars(
             self.mesh,
             lambda: self.sidecars.view,
             self.sidecars.ready,
             self.pool.update,
         )
-        self.records = CallRecords(store)
+        self.records = IdempotencyRecords(store)
         self.registration = Registration(store, Kind.ENTRY, cfg.vm)
         self.app = self._app()
         self.server = WebServer(
-            self.app, cfg.host, cfg.port, cfg.threads, refused_unread
+            self.app, cfg.host, cfg.port, cfg.threads, unreadable_answer
         )
 
     @classmethod
@@ -92,9 +92,9 @@
     def _app(self) -> EntryApp:
         cfg = self.cfg
         router = Router(self.pool, Zone(cfg.zone), random.Random())
-        forwarder = Forwarder(router, self.pool.wait_change, self.metrics)
+        forwarder = Forwarder(router, self.pool.wait_for_change, self.metrics)
         gateway = Gateway(
-            Limits(cfg.default_timeout, cfg.most_timeout),
+            Timeouts(cfg.default_timeout, cfg.most_timeout),
             self.sync.feed.active_catalog,
             self.limiter,
             forwarder,
@@ -104,20 +104,20 @@
         )
         feed = self.sync.feed
         return EntryApp(
-            gateway, self.metrics, self._ready, lambda: feed.version, self._full
+            gateway, self.metrics, self._ready, lambda: feed.version, self._refusal
         )
 
-    def _full(self) -> Failure | None:
+    def _refusal(self) -> Failure | None:
         return connections_refusal(self.server.busy_conns(), self.cfg.threads)
 
     def _ready(self) -> bool:
         # Without the sidecars every request would be refused here, while another
         # entry would have answered it.
-        listed = self.sidecars.ready.is_set() or self.borrowed.ready.is_set()
+        listed = self.sidecars.ready.is_set() or self.fallback.ready.is_set()
         return listed and self.sync.feed.ready.is_set() and self.shares.ready()
 
-    def _tell_revoked(self, msg: ShareRevoked) -> None:
-        self.pool.tell_all(msg)
+    def _broadcast_revoked(self, msg: ShareRevoked) -> None:
+        self.pool.broadcast(msg)
         for peer in self.mesh.peers():
             self.mesh.send(peer.vm, msg)
 
@@ -141,7 +141,7 @@
         """Serve and register."""
         for part in (self.sync, self.sidecars, self.vms, self.entries, self.pool):
             part.start()
-        self.borrowed.start()
+        self.fallback.start()
         self.mesh.start()
         self.limiter.start()
         self.shares.start()
@@ -170,17 +170,17 @@
         balancer sends new requests until it has seen the change; closing at once
         would show to callers as refused connections.
         """
-        self.app.leaving.set()
+        self.app.draining.set()
         self.server.disable_keep_alive()
         life.forced.wait(self.cfg.stop_notice)
         self.server.stop_listening()
-        cut = self.server.drain(self.cfg.stop_limit, life.forced)
-        if cut:
-            log("stop_cut", requests=cut)
+        aborted = self.server.drain(self.cfg.stop_limit, life.forced)
+        if aborted:
+            log("stop_cut", requests=aborted)
         self.shares.close()
         self.limiter.close()
         self.registration.remove()
-        for part in (self.sync, self.sidecars, self.vms, self.entries, self.borrowed):
+        for part in (self.sync, self.sidecars, self.vms, self.entries, self.fallback):
             part.stop()
         self.records.stop()
         self.mesh.stop()
--- a/src/persimmonhitch/entry/borrowed.py
+++ b/src/persimmonhitch/entry/peer_sidecars.py
@@ -14,7 +14,7 @@
 from ..store.watcher import View
 from ..wire.codec import message
 
-ASK_EVERY: Final = 0.5
+POLL_INTERVAL_S: Final = 0.5
 
 
 @message(54)
@@ -31,7 +31,7 @@
     specs: dict[str, str]
 
 
-class BorrowedSidecars:
+class PeerSidecars:
     """Asks peers for the sidecars until the store has listed them once.
 
     Without it an entry that starts in an outage has its configuration from its
@@ -42,16 +42,16 @@
     def __init__(
         self,
         mesh: Mesh,
-        known: Callable[[], View],
-        listed: threading.Event,
-        listener: Callable[[View], None],
+        current_view: Callable[[], View],
+        store_listed: threading.Event,
+        on_view: Callable[[View], None],
     ) -> None:
         self._mesh = mesh
-        self._known = known
-        self._listed = listed
-        self._listener = listener
+        self._current_view = current_view
+        self._store_listed = store_listed
+        self._on_view = on_view
         self._stopping = threading.Event()
-        self._borrowed = View({}, 0.0)
+        self._peer_view = View({}, 0.0)
         self.ready = threading.Event()
         mesh.on(SidecarsPull, self._on_pull)
         mesh.on(SidecarsPush, self._on_push)
@@ -65,33 +65,33 @@
         """Ask no more."""
         self._stopping.set()
 
-    def _done(self) -> bool:
-        return self._listed.is_set() or self.ready.is_set()
+    def _has_sidecars(self) -> bool:
+        return self._store_listed.is_set() or self.ready.is_set()
 
     def _run(self) -> None:
-        for turn in count():
-            if self._stopping.wait(ASK_EVERY) or self._done():
+        for attempt in count():
+            if self._stopping.wait(POLL_INTERVAL_S) or self._has_sidecars():
                 return
             peers = self._mesh.peers()
             if peers:
-                self._mesh.send(peers[turn % len(peers)].vm, SidecarsPull())
+                self._mesh.send(peers[attempt % len(peers)].vm, SidecarsPull())
 
     def _on_pull(self, vm: Vm, msg: SidecarsPull) -> None:
-        view = self._known() if self._listed.is_set() else self._borrowed
+        view = self._current_view() if self._store_listed.is_set() else self._peer_view
         specs = {name: json.dumps(obj.spec) for name, obj in view.objects.items()}
         if specs:
             self._mesh.send(vm, SidecarsPush(specs))
 
     def _on_push(self, vm: Vm, msg: SidecarsPush) -> None:
-        if self._done():
+        if self._has_sidecars():
             return
-        objects = {name: _object(name, text) for name, text in msg.specs.items()}
-        self._borrowed = View(objects, 0.0)
-        self._listener(self._borrowed)
+        objects = {name: _stored_object(name, text) for name, text in msg.specs.items()}
+        self._peer_view = View(objects, 0.0)
+        self._on_view(self._peer_view)
         self.ready.set()
         log("sidecars_borrowed", peer_vm=vm, count=len(objects))
 
 
-def _object(name: str, text: str) -> StoredObject:
+def _stored_object(name: str, text: str) -> StoredObject:
     spec: dict[str, Any] = json.loads(text)
     return StoredObject(Kind.SIDECAR, name, Version(0), spec)
--- a/src/persimmonhitch/entry/pool.py
+++ b/src/persimmonhitch/entry/pool.py
@@ -9,13 +9,13 @@
 from ..observe.logs import log
 from ..store.watcher import View
 from ..wire.messages import Hello, UpstreamKind
-from .directory import SidecarInfo
-from .sidecar_conn import SidecarConn, Versions
+from .sidecar_conn import SidecarConn, VersionFeed
+from .sidecar_info import SidecarInfo
 
-RELINK_EVERY: Final = 0.2
+RECONNECT_DELAY_S: Final = 0.2
 """Seconds between two tries to open a link that is lost."""
-RELINK_MOST: Final = 2.0
-LEAVING: Final = "leaving"
+MAX_RECONNECT_DELAY_S: Final = 2.0
+VM_LEAVING: Final = "leaving"
 """State in the platform's list of a VM that is about to go."""
 
 
@@ -23,15 +23,15 @@
     """All sidecars that this entry sends to."""
 
     def __init__(
-        self, secret: bytes, hello: Callable[[], Hello], versions: Versions
+        self, secret: bytes, hello: Callable[[], Hello], versions: VersionFeed
     ) -> None:
         self._secret = secret
         self._versions = versions
         self._hello = hello
         self._conns: dict[Upstream, SidecarConn] = {}
-        self._leaving: frozenset[Vm] = frozenset()
-        self._opening: set[Upstream] = set()
-        self._next_try: dict[Upstream, tuple[float, float]] = {}
+        self._leaving_vms: frozenset[Vm] = frozenset()
+        self._connecting: set[Upstream] = set()
+        self._next_attempt: dict[Upstream, tuple[float, float]] = {}
         self._changed = threading.Condition()
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="relink", daemon=True)
@@ -43,18 +43,18 @@
     def stop(self) -> None:
         """End every link."""
         self._stopping.set()
-        for conn in self._all():
+        for conn in self._all_conns():
             conn.close()
 
     def update(self, view: View) -> None:
         """Take the store's list of sidecars."""
         infos = [SidecarInfo.from_object(obj) for obj in view.objects.values()]
-        wanted = {info.upstream: info for info in infos if info is not None}
+        listed = {info.upstream: info for info in infos if info is not None}
         with self._changed:
-            gone = [name for name in self._conns if name not in wanted]
-            removed = [self._conns.pop(name) for name in gone]
-            for name, info in wanted.items():
-                self._put(name, info)
+            removed_names = [name for name in self._conns if name not in listed]
+            removed = [self._conns.pop(name) for name in removed_names]
+            for name, info in listed.items():
+                self._update_conn(name, info)
         for conn in removed:
             conn.close()
 
@@ -65,11 +65,11 @@
         VM is told to leave says nothing, and would get work until it is gone.
         """
         names = view.objects.items()
-        self._leaving = frozenset(
-            Vm(name) for name, obj in names if obj.spec.get("state") == LEAVING
+        self._leaving_vms = frozenset(
+            Vm(name) for name, obj in names if obj.spec.get("state") == VM_LEAVING
         )
 
-    def _put(self, name: Upstream, info: SidecarInfo) -> None:
+    def _update_conn(self, name: Upstream, info: SidecarInfo) -> None:
         conn = self._conns.get(name)
         if conn is None or (conn.info.host, conn.info.port) != (info.host, info.port):
             if conn is not None:
@@ -80,17 +80,17 @@
 
     def serving(self, model: Model, service: Service | None) -> list[SidecarConn]:
         """Return the sidecars that can take a request now."""
-        found = [conn for conn in self._all() if _serves(conn, model, service)]
-        return [conn for conn in found if conn.info.vm not in self._leaving]
+        conns = [conn for conn in self._all_conns() if _is_usable(conn, model, service)]
+        return [conn for conn in conns if conn.info.vm not in self._leaving_vms]
 
-    def listed(self, model: Model, service: Service | None) -> bool:
+    def is_listed(self, model: Model, service: Service | None) -> bool:
         """Return whether a sidecar that may be out of reach has a copy."""
-        return any(_has(conn, model, service) for conn in self._all())
+        return any(_offers(conn, model, service) for conn in self._all_conns())
 
     def copies(self) -> dict[Model, tuple[Upstream, ...]]:
         """Return the usable upstreams of each model and service."""
         found: dict[Model, tuple[Upstream, ...]] = {}
-        for conn in self._all():
+        for conn in self._all_conns():
             if not conn.usable:
                 continue
             names = [Model(f"service:{conn.info.service}")]
@@ -100,57 +100,57 @@
                 found[name] = (*found.get(name, ()), conn.info.upstream)
         return found
 
-    def tell_all(self, msg: Any) -> None:
+    def broadcast(self, msg: Any) -> None:
         """Send a message on every open link."""
-        for conn in self._all():
+        for conn in self._all_conns():
             link = conn.link
             if link is not None:
                 link.send(msg)
 
-    def wait_change(self, timeout: float) -> None:
+    def wait_for_change(self, timeout: float) -> None:
         """Return when a sidecar may have come, or after ``timeout`` seconds."""
         with self._changed:
             self._changed.wait(timeout)
 
-    def _all(self) -> list[SidecarConn]:
+    def _all_conns(self) -> list[SidecarConn]:
         with self._changed:
             return list(self._conns.values())
 
     def _run(self) -> None:
-        while not self._stopping.wait(RELINK_EVERY / 2):
+        while not self._stopping.wait(RECONNECT_DELAY_S / 2):
             now = time.monotonic()
-            for conn in self._all():
-                self._relink(conn, now)
+            for conn in self._all_conns():
+                self._reconnect(conn, now)
             with self._changed:
                 self._changed.notify_all()
 
-    def _relink(self, conn: SidecarConn, now: float) -> None:
+    def _reconnect(self, conn: SidecarConn, now: float) -> None:
         name = conn.info.upstream
-        due, pause = self._next_try.get(name, (0.0, RELINK_EVERY))
-        if conn.link is not None or name in self._opening or now < due:
+        due_at, delay = self._next_attempt.get(name, (0.0, RECONNECT_DELAY_S))
+        if conn.link is not None or name in self._connecting or now < due_at:
             return
-        self._opening.add(name)
-        self._next_try[name] = (now + pause, min(pause * 2, RELINK_MOST))
-        opener = threading.Thread(
-            target=self._open, args=(conn,), name=f"open-{name}", daemon=True
+        self._connecting.add(name)
+        self._next_attempt[name] = (now + delay, min(delay * 2, MAX_RECONNECT_DELAY_S))
+        thread = threading.Thread(
+            target=self._connect, args=(conn,), name=f"open-{name}", daemon=True
         )
-        opener.start()
+        thread.start()
 
-    def _open(self, conn: SidecarConn) -> None:
+    def _connect(self, conn: SidecarConn) -> None:
         name = conn.info.upstream
         try:
             if conn.connect(self._hello()):
-                self._next_try.pop(name, None)
+                self._next_attempt.pop(name, None)
                 log("sidecar_linked", upstream=name)
         finally:
-            self._opening.discard(name)
+            self._connecting.discard(name)
 
 
-def _serves(conn: SidecarConn, model: Model, service: Service | None) -> bool:
-    return conn.usable and _has(conn, model, service)
+def _is_usable(conn: SidecarConn, model: Model, service: Service | None) -> bool:
+    return conn.usable and _offers(conn, model, service)
 
 
-def _has(conn: SidecarConn, model: Model, service: Service | None) -> bool:
+def _offers(conn: SidecarConn, model: Model, service: Service | None) -> bool:
     if conn.info.draining:
         return False
     if service is not None:
--- a/src/persimmonhitch/entry/router.py
+++ b/src/persimmonhitch/entry/router.py
@@ -14,7 +14,7 @@
 from .pool import SidecarPool
 from .sidecar_conn import SidecarConn
 
-OUTLIERS_EVERY: Final = 1.0
+OUTLIER_INTERVAL_S: Final = 1.0
 
 
 class Router:
@@ -25,9 +25,9 @@
         self._zone = zone
         self._rng = rng
         self._outliers = OutlierDetector()
-        self._models = LoadWaitEstimator(INITIAL_LOAD_S)
-        self._services = LoadWaitEstimator(INITIAL_RESTART_S)
-        self._updated_at = 0.0
+        self._model_waits = LoadWaitEstimator(INITIAL_LOAD_S)
+        self._service_waits = LoadWaitEstimator(INITIAL_RESTART_S)
+        self._outliers_updated_at = 0.0
         self._lock = threading.Lock()
 
     def pick(
@@ -39,13 +39,13 @@
     ) -> SidecarConn | None:
         """Return the sidecar for an attempt, or None when there is none."""
         conns = self._pool.serving(model, service)
-        fresh = [conn for conn in conns if conn.info.upstream not in tried]
-        by_name = {conn.info.upstream: conn for conn in fresh or conns}
+        untried = [conn for conn in conns if conn.info.upstream not in tried]
+        by_name = {conn.info.upstream: conn for conn in untried or conns}
         now = time.monotonic()
         group = group_of(model, service)
         with self._lock:
             if conns:
-                self._missing(service).record_served(group, now)
+                self._estimator(service).record_served(group, now)
             self._update_outliers(now)
             candidates = [self._candidate(c, group, now) for c in by_name.values()]
             chosen = choose(candidates, RouteRequest(self._zone, cost), self._rng)
@@ -61,30 +61,30 @@
             share=share * warmup_share(conn.age_of(group, now)),
         )
 
-    def _missing(self, service: Service | None) -> LoadWaitEstimator:
-        return self._models if service is None else self._services
+    def _estimator(self, service: Service | None) -> LoadWaitEstimator:
+        return self._model_waits if service is None else self._service_waits
 
-    def no_wait(
+    def refusal(
         self, model: Model, service: Service | None, deadline_at: float
     ) -> Failure | None:
         """Return why a request should not wait for a first copy, or None.
 
         A copy that is listed but out of reach needs only its link again.
         """
-        if self._pool.listed(model, service):
+        if self._pool.is_listed(model, service):
             return None
         now, group = time.monotonic(), group_of(model, service)
         with self._lock:
-            missing = self._missing(service)
-            missing.record_missing(group, now)
-            return missing.refusal(group, now, deadline_at)
+            estimator = self._estimator(service)
+            estimator.record_missing(group, now)
+            return estimator.refusal(group, now, deadline_at)
 
     def _update_outliers(self, now: float) -> None:
-        if now - self._updated_at >= OUTLIERS_EVERY:
-            self._updated_at = now
+        if now - self._outliers_updated_at >= OUTLIER_INTERVAL_S:
+            self._outliers_updated_at = now
             self._outliers.update(now, self._pool.copies())
 
-    def latency(self, upstream: Upstream, group: Model, seconds: float) -> None:
+    def record_latency(self, upstream: Upstream, group: Model, seconds: float) -> None:
         """Note a latency that does not depend on a request's length.
 
         For a model it is the mean time between tokens, for a service the time to
@@ -93,7 +93,7 @@
         with self._lock:
             self._outliers.on_latency(time.monotonic(), upstream, group, seconds)
 
-    def failed(self, upstream: Upstream) -> None:
+    def record_failure(self, upstream: Upstream) -> None:
         """Note an attempt that the upstream failed."""
         with self._lock:
             self._outliers.on_failure(upstream)
--- a/src/persimmonhitch/entry/sidecar_conn.py
+++ b/src/persimmonhitch/entry/sidecar_conn.py
@@ -29,14 +29,14 @@
     TombstoneReply,
     Welcome,
 )
-from .directory import SidecarInfo
 from .exchange import Exchange
+from .sidecar_info import SidecarInfo
 
-BURY_TIMEOUT: Final = 0.5
+TOMBSTONE_TIMEOUT_S: Final = 0.5
 """Seconds to wait for the answer to ``Tombstone``; it takes one round trip."""
 
 
-class Versions(Protocol):
+class VersionFeed(Protocol):
     """What the configuration's source is asked for on reports."""
 
     @property
@@ -50,23 +50,23 @@
 class SidecarConn:
     """The link to one sidecar and all attempts on it."""
 
-    def __init__(self, info: SidecarInfo, secret: bytes, versions: Versions) -> None:
+    def __init__(self, info: SidecarInfo, secret: bytes, versions: VersionFeed) -> None:
         self.info = info
         self._versions = versions
         self.link: Link | None = None
         self.incarnation: Incarnation | None = None
         self.models: frozenset[Model] = info.models
         self.report: LoadReport | None = None
-        self.report_at = 0.0
-        self._since: dict[Model, float] = {}
-        self.dropped = 0
+        self.reported_at = 0.0
+        self._first_seen: dict[Model, float] = {}
+        self.dropped_frames = 0
         self._draining = False
         self._secret = secret
         self._exchanges: dict[RequestId, tuple[Exchange, float]] = {}
         self.load = UpstreamLoad()
-        self.retired = threading.Event()
-        self._burials: dict[RequestId, threading.Event] = {}
-        self._verdicts: dict[RequestId, Verdict] = {}
+        self.closed = threading.Event()
+        self._tombstones: dict[RequestId, threading.Event] = {}
+        self._tombstone_verdicts: dict[RequestId, Verdict] = {}
         self._lock = threading.Lock()
         self.welcomed = threading.Event()
 
@@ -91,13 +91,13 @@
 
     def close(self) -> None:
         """End the link; the sidecar is no longer in reach."""
-        self.retired.set()
+        self.closed.set()
         if self.link is not None:
             self.link.close()
 
     def on_message(self, link: Link, msg: Any) -> None:
         """Take one message of the sidecar."""
-        self.take(msg)
+        self.receive(msg)
 
     def on_close(self, link: Link) -> None:
         """Tell every attempt that its link is gone."""
@@ -106,22 +106,22 @@
             self.link = None
             exchanges = [exchange for exchange, _ in self._exchanges.values()]
         for exchange in exchanges:
-            exchange.lose()
+            exchange.on_link_lost()
 
     @singledispatchmethod
-    def take(self, msg: Any) -> None:
+    def receive(self, msg: Any) -> None:
         """Take a message by its kind; one that has no place here is logged."""
         log("message_unexpected", upstream=self.info.upstream, kind=type(msg).__name__)
 
-    @take.register
+    @receive.register
     def _(self, msg: Welcome) -> None:
         self.incarnation = msg.incarnation
-        self._now_serves(msg.models)
+        self._update_models(msg.models)
         self._draining = msg.draining
         self.welcomed.set()
-        self._compare(msg.version)
+        self._sync_version(msg.version)
 
-    def _compare(self, theirs: ConfigVersion) -> None:
+    def _sync_version(self, theirs: ConfigVersion) -> None:
         """Tell the sidecar of a newer version, or learn from it of one.
 
         An entry with no requests would otherwise keep the news from the sidecar,
@@ -132,57 +132,57 @@
             self.link.send(ConfigNotice(ours))
         self._versions.pull_if_newer(theirs)
 
-    @take.register
+    @receive.register
     def _(self, msg: LoadReport) -> None:
-        self._compare(msg.version)
+        self._sync_version(msg.version)
         self.report = msg
         with self._lock:
             self.load.on_report(msg)
-        self.report_at = time.monotonic()
-        self._now_serves(msg.models)
+        self.reported_at = time.monotonic()
+        self._update_models(msg.models)
         self._draining = msg.draining
 
-    @take.register(Head)
-    @take.register(Chunk)
-    @take.register(End)
-    @take.register(Fail)
+    @receive.register(Head)
+    @receive.register(Chunk)
+    @receive.register(End)
+    @receive.register(Fail)
     def _(self, msg: Head | Chunk | End | Fail) -> None:
         with self._lock:
             found = self._exchanges.get(msg.request)
         if found is None or not found[0].put(msg):
-            self.dropped += 1
+            self.dropped_frames += 1
 
-    @take.register
+    @receive.register
     def _(self, msg: TombstoneReply) -> None:
         with self._lock:
-            waiter = self._burials.get(msg.request)
-            self._verdicts[msg.request] = msg.verdict
+            waiter = self._tombstones.get(msg.request)
+            self._tombstone_verdicts[msg.request] = msg.verdict
         if waiter is not None:
             waiter.set()
 
-    def _now_serves(self, models: tuple[Model, ...]) -> None:
+    def _update_models(self, models: tuple[Model, ...]) -> None:
         now = time.monotonic()
         self.models = frozenset(models)
         # A copy that stays through a lost link keeps its age: its caches are warm,
         # and taking it for new would send its callers to busier copies.
-        self._since = {model: self._since.get(model, now) for model in models}
+        self._first_seen = {model: self._first_seen.get(model, now) for model in models}
 
     def age_of(self, model: Model, now: float) -> float:
         """Return for how long this entry has seen a model served here."""
-        return now - self._since[model] if model in self._since else math.inf
+        return now - self._first_seen[model] if model in self._first_seen else math.inf
 
-    def submit(self, sub: Submit) -> Exchange | None:
+    def submit(self, msg: Submit) -> Exchange | None:
         """Send an attempt; None when the link is gone and nothing was sent."""
-        exchange = Exchange(sub.request, sub.attempt)
-        exchange.flow = lambda go_on: self._flow(exchange, go_on)
+        exchange = Exchange(msg.request, msg.attempt)
+        exchange.on_flow = lambda resume: self._send_flow(exchange, resume)
         with self._lock:
-            self._exchanges[sub.request] = (exchange, sub.cost)
-            self.load.on_send(sub.cost)
+            self._exchanges[msg.request] = (exchange, msg.cost)
+            self.load.on_send(msg.cost)
         if self.link is None:
-            self.forget(sub.request)
+            self.forget(msg.request)
             return None
-        if not self.link.send(sub):
-            exchange.lose()
+        if not self.link.send(msg):
+            exchange.on_link_lost()
         return exchange
 
     def resume(self, exchange: Exchange, incarnation: Incarnation) -> bool:
@@ -191,35 +191,35 @@
             exchange.request,
             exchange.attempt,
             incarnation,
-            exchange.have_head,
+            exchange.head_received,
             exchange.next_chunk,
         )
         return self.link is not None and self.link.send(msg)
 
-    def _flow(self, exchange: Exchange, go_on: bool) -> None:
+    def _send_flow(self, exchange: Exchange, resume: bool) -> None:
         if self.link is not None:
-            self.link.send(FlowControl(exchange.request, exchange.attempt, go_on))
+            self.link.send(FlowControl(exchange.request, exchange.attempt, resume))
 
     def cancel(self, exchange: Exchange) -> None:
         """Say that nobody waits for the attempt any more."""
         if self.link is not None:
             self.link.send(Cancel(exchange.request, exchange.attempt))
 
-    def bury(self, request: RequestId, incarnation: Incarnation) -> Verdict:
+    def tombstone(self, request: RequestId, incarnation: Incarnation) -> Verdict:
         """Ask that a request never run from now on; return what is true of it."""
         waiter = threading.Event()
         with self._lock:
-            self._burials[request] = waiter
+            self._tombstones[request] = waiter
         sent = self.link is not None and self.link.send(Tombstone(request, incarnation))
         if sent:
-            waiter.wait(BURY_TIMEOUT)
+            waiter.wait(TOMBSTONE_TIMEOUT_S)
         with self._lock:
-            del self._burials[request]
-            return self._verdicts.pop(request, Verdict.MAY_HAVE_RUN)
+            del self._tombstones[request]
+            return self._tombstone_verdicts.pop(request, Verdict.MAY_HAVE_RUN)
 
     def forget(self, request: RequestId) -> None:
         """Take no more frames for a request."""
         with self._lock:
-            found = self._exchanges.pop(request, None)
-            if found is not None:
-                self.load.on_done(found[1])
+            pending = self._exchanges.pop(request, None)
+            if pending is not None:
+                self.load.on_done(pending[1])
--- a/src/persimmonhitch/entry/stream.py
+++ b/src/persimmonhitch/entry/stream.py
@@ -9,7 +9,7 @@
 from .answers import failure_event
 from .attempt import Frame
 
-CALLER_LEFT: Final = Failure(
+CALLER_DISCONNECTED: Final = Failure(
     ErrorCode.DEADLINE, "the caller has gone", Verdict.MAY_HAVE_RUN
 )
 
@@ -28,19 +28,19 @@
         self,
         frames: Generator[Frame, None, None],
         request: RequestId,
-        on_part: Callable[[], None],
+        on_chunk: Callable[[], None],
         on_end: OnEnd,
     ) -> None:
         self._frames = frames
         self._request = request
-        self._on_part = on_part
+        self._on_chunk = on_chunk
         self._on_end = on_end
         self._ended = False
 
     def __iter__(self) -> Iterator[bytes]:
         for frame in self._frames:
             if isinstance(frame, Chunk):
-                self._on_part()
+                self._on_chunk()
                 yield frame.data
             elif isinstance(frame, End):
                 self._end(None, frame.tokens)
@@ -53,9 +53,9 @@
     def close(self) -> None:
         """Cancel what has not come yet."""
         self._frames.close()
-        self._end(CALLER_LEFT, None)
+        self._end(CALLER_DISCONNECTED, None)
 
-    def _end(self, exc: Failure | None, used: Tokens | None) -> None:
+    def _end(self, exc: Failure | None, tokens: Tokens | None) -> None:
         if not self._ended:
             self._ended = True
-            self._on_end(exc, used)
+            self._on_end(exc, tokens)
--- a/src/persimmonhitch/planner/fleet.py
+++ b/src/persimmonhitch/planner/fleet.py
@@ -7,7 +7,7 @@
 from ..decide.pacing import LoadTarget
 from ..decide.placement import Move
 from ..decide.targets import CopyPhase, ModelRequirement, PlacedCopy, PlacementTarget
-from ..entry.directory import SidecarInfo
+from ..entry.sidecar_info import SidecarInfo
 from ..ids import Epoch, Model, Upstream
 from ..wire.link import Link
 from ..wire.messages import OrderDone
--- a/src/persimmonhitch/planner/links.py
+++ b/src/persimmonhitch/planner/links.py
@@ -8,7 +8,7 @@
 
 from returns.result import Success
 
-from ..entry.directory import SidecarInfo
+from ..entry.sidecar_info import SidecarInfo
 from ..ids import Upstream
 from ..observe.logs import log
 from ..wire.link import Link, open_link
--- a/src/persimmonhitch/planner/main.py
+++ b/src/persimmonhitch/planner/main.py
@@ -19,7 +19,7 @@
 from ..catalog.feed import CatalogFeed
 from ..catalog.store_source import StoreSource
 from ..decide.pacing import LoadPacer
-from ..entry.directory import SidecarInfo
+from ..entry.sidecar_info import SidecarInfo
 from ..ids import ConfigVersion, Vm, Zone, new_incarnation
 from ..kernel import Lifecycle
 from ..kernel.service import run_service
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -10,7 +10,7 @@
 
 from ..catalog.model import EMPTY, Catalog
 from ..decide.placement import Move, Reason
-from ..entry.directory import SidecarInfo
+from ..entry.sidecar_info import SidecarInfo
 from ..ids import Adapter, Epoch, Incarnation, Model, Upstream
 from ..observe.logs import log
 from ..wire.link import Link
--- a/src/persimmonhitch/play/placement_scale.py
+++ b/src/persimmonhitch/play/placement_scale.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..decide.pacing import LoadPacer
-from ..entry.directory import SidecarInfo
+from ..entry.sidecar_info import SidecarInfo
 from ..ids import Epoch, Incarnation, Model, Region, Service, Upstream, Vm, Zone
 from ..planner.fleet import FleetView
 from ..planner.round import RoundPlanner
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -9,7 +9,7 @@
 from websockets.exceptions import ConnectionClosed
 from websockets.sync.client import connect
 
-from persimmonhitch.entry.calls import clean_headers, clean_query, read_call
+from persimmonhitch.entry.calls import forwarded_headers, forwarded_query, read_call
 from persimmonhitch.verdict import ErrorCode, Failure
 from persimmonhitch.web import Request
 from persimmonhitch.web.http import MAX_BODY_BYTES, read_request
@@ -74,9 +74,9 @@
         "x-note": f"with {KEY} in it",
         "accept": "text/plain",
     }
-    assert clean_headers(headers, KEY) == {"accept": "text/plain"}
-    assert clean_query(f"a=1&k={KEY}&b=2", KEY) == "a=1&b=2"
-    assert clean_query("k=phk%5Fsecret", KEY) == ""
+    assert forwarded_headers(headers, KEY) == {"accept": "text/plain"}
+    assert forwarded_query(f"a=1&k={KEY}&b=2", KEY) == "a=1&b=2"
+    assert forwarded_query("k=phk%5Fsecret", KEY) == ""
 
 
 FRAMES = {
--- a/tests/test_config_stale.py
+++ b/tests/test_config_stale.py
@@ -7,7 +7,7 @@
 
 from persimmonhitch.catalog import staleness
 from persimmonhitch.catalog.messages import ConfigNotice
-from persimmonhitch.entry.forward import _submit
+from persimmonhitch.entry.forward import _as_submit
 from persimmonhitch.standin.service import ServiceApp
 from persimmonhitch.verdict import ErrorCode, Verdict
 from persimmonhitch.wire.messages import Fail, Head, UpstreamKind
@@ -23,7 +23,7 @@
     started = start_sidecar(ServiceApp(), UpstreamKind.SERVICE)
 
     def first_frame(version):
-        sub = _submit(admitted("ledger"), started.conn, 1, time.monotonic(), version)
+        sub = _as_submit(admitted("ledger"), started.conn, 1, time.monotonic(), version)
         return started.conn.submit(sub).get(5.0)
 
     started.conn.link.send(ConfigNotice(2))
--- a/tests/test_decide_processes.py
+++ b/tests/test_decide_processes.py
@@ -88,10 +88,10 @@
     """
     conn = engine.conn
     welcome = engine.server._welcome()
-    conn.take(replace(welcome, models=("old",)))
+    conn.receive(replace(welcome, models=("old",)))
     loaded_at = time.monotonic()
     wait_for(lambda: time.monotonic() > loaded_at, "the clock")
-    conn.take(replace(welcome, models=("old", "new")))
+    conn.receive(replace(welcome, models=("old", "new")))
     later = loaded_at + 10.0
     assert conn.age_of("old", later) >= 10.0 > conn.age_of("new", later)
 
--- a/tests/test_forward_verdict.py
+++ b/tests/test_forward_verdict.py
@@ -37,7 +37,7 @@
         "_target",
         lambda _req, tried: Success(conns[len(tried)]) if remaining else Err(NONE),
     )
-    monkeypatch.setattr(forwarder, "_try", lambda *_args: Err(remaining.pop(0)))
+    monkeypatch.setattr(forwarder, "_run_attempt", lambda *_args: Err(remaining.pop(0)))
     failure = forwarder.run(admitted("ledger", repeatable=True)).failure()
     assert failure.verdict is verdict
     assert failure.code is ErrorCode.NO_UPSTREAM and not remaining
--- a/tests/test_leaving_golden.py
+++ b/tests/test_leaving_golden.py
@@ -26,7 +26,7 @@
     return len(answer.json()["started"])
 
 
-def stream_meanwhile(fleet, entry, count=LONG):
+def start_stream(fleet, entry, count=LONG):
     """Start a stream on a thread; return a call that waits for its reply."""
     replies = []
 
@@ -58,19 +58,19 @@
     sees it first, its streams end whole, and it exits with 0.
     """
     session = Session("leaving")
-    streams = [stream_meanwhile(fleet, "entry-1") for _ in range(6)]
-    leaver = fleet.processes["sidecar-e1"]
-    leaver.signal(signal.SIGTERM)
+    streams = [start_stream(fleet, "entry-1") for _ in range(6)]
+    sidecar = fleet.processes["sidecar-e1"]
+    sidecar.signal(signal.SIGTERM)
     replies = [reply() for reply in streams]
     whole = all(reply.body.endswith(b"data: [DONE]\n\n") for reply in replies)
     session.add("six streams while upstream e1 leaves, all whole:", whole)
-    session.add("sidecar exits with", leaver.popen.wait(15))
+    session.add("sidecar exits with", sidecar.popen.wait(15))
     before = started(fleet, "engine-1")
     codes = {fleet.chat("entry-2", "fretes", "more", 2).status for _ in range(8)}
     session.add("eight calls after it:", *codes)
     session.add("of these to e1:", started(fleet, "engine-1") - before)
 
-    reply = stream_meanwhile(fleet, "entry-1")
+    reply = start_stream(fleet, "entry-1")
     entry = fleet.processes["entry-1"]
     entry.signal(signal.SIGTERM)
     wait_for(lambda: ready(fleet, "entry-1") == 503, "entry-1 to be not ready")
@@ -89,10 +89,10 @@
         start_fleet(fleet)
         fleet.store().create(Kind.VM, "vm-e1", {"state": "leaving"}).unwrap()
         fleet.processes["sidecar-e2"].kill()
-        soon = {"X-Request-Timeout": "0.5"}
+        headers = {"X-Request-Timeout": "0.5"}
 
         def status():
-            return fleet.chat("entry-1", "fretes", "call", 1, headers=soon).status
+            return fleet.chat("entry-1", "fretes", "call", 1, headers=headers).status
 
         wait_for(lambda: status() == 503, "the end of new work at e1")
         before = started(fleet, "engine-1")
@@ -132,7 +132,7 @@
         assert cut.wait(10)
 
 
-def test_signal_after_a_freeze_is_heard(tmp_path):
+def test_signal_after_freeze_is_handled(tmp_path):
     """A VM is paused by its host and told to leave the moment it goes on. A process
     that missed the signal would run on until the platform kills it, and cut every
     request it has.
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,13 +11,13 @@
 from fleet import wait_for
 
 from persimmonhitch.decide.routing import UpstreamLoad
-from persimmonhitch.entry.admitted import Admitted
+from persimmonhitch.entry.admitted import AdmittedCall
 from persimmonhitch.entry.attempt import Attempt
 from persimmonhitch.entry.calls import Call
-from persimmonhitch.entry.directory import SidecarInfo
-from persimmonhitch.entry.exchange import MOST_UNREAD
-from persimmonhitch.entry.forward import _submit
+from persimmonhitch.entry.exchange import MAX_UNREAD_BYTES
+from persimmonhitch.entry.forward import _as_submit
 from persimmonhitch.entry.sidecar_conn import SidecarConn
+from persimmonhitch.entry.sidecar_info import SidecarInfo
 from persimmonhitch.ids import new_incarnation, new_request_id
 from persimmonhitch.observe.traces import Traces
 from persimmonhitch.sidecar.dispatch import Dispatcher, DispatcherProxy
@@ -142,11 +142,11 @@
 def admitted(service=None, body=b"", repeatable=False, timeout=5.0):
     path = "/slots" if service else "/v1/chat/completions"
     call = Call("m", service, "POST", path, {}, body, True, 0, timeout, None, "")
-    return Admitted(
+    return AdmittedCall(
         request=new_request_id(),
         account="fretes",
         call=call,
-        version=lambda: 1,
+        config_version=lambda: 1,
         weight=1.0,
         priority=Priority.INTERACTIVE,
         cost=10.0,
@@ -154,14 +154,14 @@
         deadline_at=time.monotonic() + timeout,
         traceparent="",
         disconnected=lambda: False,
-        withdrawn=lambda: False,
+        key_withdrawn=lambda: False,
     )
 
 
 def start_attempt(rig, req):
     """Run an attempt on a thread; return a wait function and the list of frames."""
     frames = []
-    sub = _submit(req, rig.conn, 1, time.monotonic(), 1)
+    sub = _as_submit(req, rig.conn, 1, time.monotonic(), 1)
     attempt = Attempt(rig.conn, sub, req)
     thread = threading.Thread(target=lambda: frames.extend(attempt.frames()))
     thread.start()
@@ -233,7 +233,7 @@
     this id must not run.
     """
     req = admitted("ledger")
-    sub = _submit(req, ledger.conn, 1, time.monotonic(), 1)
+    sub = _as_submit(req, ledger.conn, 1, time.monotonic(), 1)
     link, original_send = ledger.conn.link, ledger.conn.link.send
     link.send = lambda msg: True
     wait_for_frames, _ = start_attempt(ledger, req)
@@ -262,7 +262,7 @@
     """An attempt for an earlier incarnation of the sidecar, or one past its deadline,
     must be refused with the verdict not_run.
     """
-    sub = replace(_submit(admitted("ledger"), ledger.conn, 1, 0.0, 1), **change)
+    sub = replace(_as_submit(admitted("ledger"), ledger.conn, 1, 0.0, 1), **change)
     answer = ledger.conn.submit(sub).get(2.0)
     assert isinstance(answer, Fail)
     assert (answer.code, answer.verdict) == (code, Verdict.NOT_RUN)
@@ -273,7 +273,7 @@
     """A frame is delivered twice. The second must be refused with the verdict on the
     first, and the service must get one request.
     """
-    sub = _submit(admitted("ledger"), ledger.conn, 1, time.monotonic(), 1)
+    sub = _as_submit(admitted("ledger"), ledger.conn, 1, time.monotonic(), 1)
     first = ledger.conn.submit(sub)
     wait_for(lambda: ledger.app.runs, "the request to run")
     second = ledger.conn.submit(sub)
@@ -291,21 +291,21 @@
     conn = SidecarConn(ledger.conn.info, b"", FEED)
     conn.load = UpstreamLoad()
     conn.link = type("Sink", (), {"send": lambda self, msg: True})()
-    sub = _submit(admitted("ledger"), ledger.conn, 2, time.monotonic(), 1)
+    sub = _as_submit(admitted("ledger"), ledger.conn, 2, time.monotonic(), 1)
     exchange = conn.submit(sub)
 
-    conn.take(Head(sub.request, 1, 200, {}))
-    conn.take(Chunk(sub.request, 2, 0, b"before its head"))
-    conn.take(Head(sub.request, 2, 200, {}))
-    conn.take(Chunk(sub.request, 2, 1, b"out of place"))
-    conn.take(Chunk("another", 2, 0, b"of another"))
-    conn.take(Chunk(sub.request, 2, 0, b"mine"))
-    conn.take(End(sub.request, 2, 2, 1.0))
-    conn.take(End(sub.request, 2, 1, 1.0))
+    conn.receive(Head(sub.request, 1, 200, {}))
+    conn.receive(Chunk(sub.request, 2, 0, b"before its head"))
+    conn.receive(Head(sub.request, 2, 200, {}))
+    conn.receive(Chunk(sub.request, 2, 1, b"out of place"))
+    conn.receive(Chunk("another", 2, 0, b"of another"))
+    conn.receive(Chunk(sub.request, 2, 0, b"mine"))
+    conn.receive(End(sub.request, 2, 2, 1.0))
+    conn.receive(End(sub.request, 2, 1, 1.0))
     frames = [exchange.get(0.1) for _ in range(3)]
     assert [type(frame) for frame in frames] == [Head, Chunk, End]
     assert frames[1].data == b"mine"
-    assert conn.dropped == 5
+    assert conn.dropped_frames == 5
 
 
 def test_slow_reader_pauses_only_its_own_answer(engine):
@@ -318,18 +318,18 @@
     engine.app.speed = EngineSpeed(prefill=0.0, step=0.0)
     req = admitted(body=json.dumps(chat).encode(), repeatable=True, timeout=30.0)
     frames = Attempt(
-        engine.conn, _submit(req, engine.conn, 1, time.monotonic(), 1), req
+        engine.conn, _as_submit(req, engine.conn, 1, time.monotonic(), 1), req
     )
     slow = frames.frames()
     next(slow)
-    wait_for(lambda: engine.conn._exchanges[req.request][0]._stopped, "the pause")
+    wait_for(lambda: engine.conn._exchanges[req.request][0]._paused, "the pause")
     short = {**chat, "messages": [{"role": "user", "content": "quick"}]}
     short["max_tokens"] = 3
     other = admitted(body=json.dumps(short).encode(), repeatable=True)
     wait_for_frames, _ = start_attempt(engine, other)
     assert isinstance(wait_for_frames()[-1], End)
-    unread_bytes = engine.conn._exchanges[req.request][0]._unread
-    assert unread_bytes < 2 * MOST_UNREAD
+    unread_bytes = engine.conn._exchanges[req.request][0]._unread_bytes
+    assert unread_bytes < 2 * MAX_UNREAD_BYTES
     remaining = list(slow)
     assert isinstance(remaining[-1], End)
     text = b"".join(f.data for f in remaining if isinstance(f, Chunk))
--- a/tests/test_once_golden.py
+++ b/tests/test_once_golden.py
@@ -22,7 +22,7 @@
     return fleet.request(entry, "POST", SLOTS, "fretes", headers=headers, **more)
 
 
-def book_meanwhile(fleet, entry, token=None):
+def start_booking(fleet, entry, token=None):
     """Start a booking on a thread; return a call that waits for its reply."""
     replies = []
     thread = threading.Thread(
@@ -47,14 +47,14 @@
     session = Session("booking")
     first = book(fleet, "entry-1", "voyage-1", body=b"slot 7")
     session.add_reply("booking through entry-1", first)
-    again = book(fleet, "entry-2", "voyage-1", body=b"slot 7")
-    session.add_reply("the same again through entry-2", again)
-    assert again.body == first.body
-    assert again.headers["idempotency-replayed"] == "true"
+    repeated = book(fleet, "entry-2", "voyage-1", body=b"slot 7")
+    session.add_reply("the same again through entry-2", repeated)
+    assert repeated.body == first.body
+    assert repeated.headers["idempotency-replayed"] == "true"
     session.add("runs", fleet.runs("service-1"))
 
-    other = book(fleet, "entry-2", "voyage-1", body=b"slot 8")
-    session.add_reply("another booking under the same key", other)
+    conflicting = book(fleet, "entry-2", "voyage-1", body=b"slot 8")
+    session.add_reply("another booking under the same key", conflicting)
 
     fleet.set_faults(down=True)
     session.add_reply("store down, with a key", book(fleet, "entry-1", "voyage-2"))
@@ -73,7 +73,7 @@
     fleet.set_faults()
     session.add("runs", fleet.runs("service-1"))
 
-    waiting = book_meanwhile(fleet, "entry-1", "voyage-4")
+    waiting = start_booking(fleet, "entry-1", "voyage-4")
     fleet.processes["sidecar-s1"].kill()
     session.add_reply("sidecar killed while the service books", waiting())
     session.add_reply(
@@ -103,7 +103,7 @@
         finally:
             killer.join()
     session.add("entry-1 killed while the service books: connection broken")
-    again = book(fleet, "entry-2", "voyage-5", body=b"slot 7")
-    session.add_reply("the same again through entry-2", again)
+    repeated = book(fleet, "entry-2", "voyage-5", body=b"slot 7")
+    session.add_reply("the same again through entry-2", repeated)
     session.add("runs", fleet.runs("service-1"))
     session.check()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -6,7 +6,7 @@
 from persimmonhitch.decide.pacing import LoadPacer
 from persimmonhitch.decide.placement import Move, Reason
 from persimmonhitch.decide.targets import CopyPhase
-from persimmonhitch.entry.directory import SidecarInfo
+from persimmonhitch.entry.sidecar_info import SidecarInfo
 from persimmonhitch.ids import Epoch, Model, Upstream
 from persimmonhitch.planner.fleet import LINK_LOSS_GRACE_S, FleetView, PendingOrder
 from persimmonhitch.planner.lease import LeaseKeeper
