--- a/src/persimmonhitch/direct/main.py
+++ b/src/persimmonhitch/direct/main.py
@@ -230,7 +230,7 @@
             self.poison,
             self.limits,
         )
-        callers = CallerApp(gateway, self._check_connections)
+        callers = CallerApp(gateway, self._refusal)
         status = StatusApp(self._is_ready, self.metrics)
         host, port = cfg.callers[0]
         self.server = WebServer(callers, host, port, cfg.threads, keep_streams=True)
@@ -247,7 +247,7 @@
             PROTOCOL, Role.ENTRY, self.vm, Zone(cfg.zone), self.incarnation, version
         )
 
-    def _check_connections(self) -> Failure | None:
+    def _refusal(self) -> Failure | None:
         if self.refusing.is_set():
             return STOPPING
         return connections_refusal(len(self.watchdog), self.cfg.threads)
