--- a/src/persimmonhitch/direct/abort.py
+++ b/src/persimmonhitch/direct/abort.py
@@ -22,7 +22,7 @@
 
 
 class Abort:
-    """Abort handle of a request; its action unblocks the serving thread."""
+    """Abort handle of a request; its action unblocks the thread of the request."""
 
     def __init__(self, caller_left: Callable[[], bool], deadline_at: float) -> None:
         self.caller_left = caller_left
--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -44,6 +44,7 @@
 class _Waiter:
     request: DispatchRequest
     excluded: frozenset[Upstream]
+    """Upstreams at which earlier attempts of the request failed."""
     give_up_at: float
     decided: threading.Event = field(default_factory=threading.Event)
     upstream: UpstreamRecord | None = None
@@ -114,8 +115,11 @@
         self._table = UpstreamTable(clock)
         self._waiters: list[_Waiter] = []
         self._requested: dict[tuple[Model, Adapter | None, Upstream | None], float] = {}
+        """When each load request was last sent."""
         self._ready_at: dict[Model, float] = {}
+        """Expected end of each model load, as reported by the leader."""
         self._demand: dict[Model, float] = {}
+        """Tokens requested of each model since the start."""
         self._cfg: FleetConfig | None = None
         self._closing: Failure | None = None
 
@@ -176,7 +180,7 @@
         waiter.decided.set()
 
     def record_demand(self, model: Model, tokens: float) -> None:
-        """Add the tokens of a request to the demand for its model, even if it fails."""
+        """Add a request's tokens to the demand for its model, whatever its outcome."""
         with self._lock:
             self._demand[model] = self._demand.get(model, 0.0) + tokens
 
@@ -235,6 +239,7 @@
     def _all_limited(
         self, request: DispatchRequest, views: list[UpstreamView]
     ) -> frozenset[Upstream]:
+        """Exclude limited upstreams; return the capable ones if all are limited."""
         at_limit = self._limits.exclude_limited(views)
         able = {v.upstream for v in views if request.model is None or v.has_model}
         return at_limit & able if at_limit and able <= at_limit else frozenset()
--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -21,12 +21,12 @@
 MAX_CONCURRENT_ADAPTER_LOADS: Final = 4
 """Adapters that an engine loads concurrently, as its interface specifies."""
 REPORT_LAG_S: Final = 0.15
-"""Seconds by which reports lag; one read earlier shows the state before an order."""
+"""Seconds by which reports lag; until then, they show the state before an order."""
 POLL_INTERVAL_S: Final = 0.1
 """Seconds between two report requests for a load that is overdue."""
 ORDER_TIMEOUT_S: Final = 12.0
 """Seconds after which an order that no report confirms counts as lost; the engine
-may execute an unanswered order up to then."""
+may still execute an unanswered order until then."""
 UNKNOWN_STATE_BUSY_S: Final = 1.0
 """Seconds for which an engine with an unknown inventory counts as busy."""
 REPORT_POLL_S: Final = 0.3
@@ -47,7 +47,7 @@
 orders during a model load; without a pause, consecutive loads would cause refusals of
 all requests for adapters that are not loaded."""
 UNLOAD_DELAY_S: Final = 0.03
-"""Seconds between the broadcast of an eviction and the unload order; without them,
+"""Seconds between the broadcast of an eviction and the unload order; without a delay,
 the engine would refuse requests for the model that are already in transit."""
 
 Clock = Callable[[], float]
@@ -64,8 +64,10 @@
     unloading: set[tuple[Model, Adapter]] = field(default_factory=set)
     """Adapters with an unload in progress; each occupies its slot until completion."""
     loaded_at: dict[Model, float] = field(default_factory=dict)
+    """When the last load of each model was confirmed."""
     loading: Model | None = None
     ready_at: float = 0.0
+    """Expected end of the load in progress."""
     drain_time: DrainEstimate = field(default_factory=DrainEstimate)
     evicting: frozenset[Model] = frozenset()
 
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -24,7 +24,7 @@
 MAX_ANSWER_BYTES: Final = 16 * 1024 * 1024
 """Maximum size of an answer; answers of plain services are smaller."""
 RETRY_AFTER: Final = 0.3
-"""Retry time for callers in seconds; short answers end and free a slot within it."""
+"""Retry time for callers in seconds; short answers end within this time."""
 MAX_IDLE_UNREPEATABLE_S: Final = 1.0
 """Maximum idle time of a connection used for a request that must not be repeated.
 
--- a/src/persimmonhitch/direct/in_flight.py
+++ b/src/persimmonhitch/direct/in_flight.py
@@ -24,8 +24,11 @@
     route_name: str
     permit: Permit | None = None
     attempts: int = 0
+    """Attempts that an upstream may have executed."""
     refusals: int = 0
+    """Attempts that were not executed."""
     excluded: frozenset[Upstream] = frozenset()
+    """Upstreams at which an attempt failed."""
     settled: bool = False
     sent_at: float = 0.0
     """Time at which the newest attempt was sent; ``head_at`` is the arrival time of
--- a/src/persimmonhitch/direct/local_work.py
+++ b/src/persimmonhitch/direct/local_work.py
@@ -32,7 +32,7 @@
             self.model_counts[key] = self.model_counts.get(key, 0) + 1
 
     def finish(self, request: DispatchRequest, prefill_done: bool) -> None:
-        """Discount a request that has ended."""
+        """Subtract a request that has ended."""
         self.requests -= 1
         self.kv_tokens -= request.kv_tokens
         if not prefill_done:
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True)
 class Trial:
-    """Isolated run of a suspect request; ``upstream`` is None before."""
+    """Isolated run of a suspect request; ``upstream`` is None until it starts."""
 
     fingerprint: Fingerprint
     upstream: Upstream | None
--- a/src/persimmonhitch/direct/upstream_table.py
+++ b/src/persimmonhitch/direct/upstream_table.py
@@ -58,6 +58,7 @@
     solo_read_rate: float | None = None
     """Prompt tokens per second while the engine processes a single prompt."""
     missing_at: dict[tuple[Model, Adapter | None], float] = field(default_factory=dict)
+    """When the engine last answered that a model or adapter is missing."""
     load: ServerLoad | None = None
 
     def add_solo_sample(self, sample: float) -> None:
