--- a/tests/catalog_help.py
+++ b/tests/catalog_help.py
@@ -1,4 +1,4 @@
-"""Lists, stores and changes that the tests of the configuration share."""
+"""Lists, writers and changes shared by the tests of the configuration."""
 
 from pathlib import Path
 
@@ -35,7 +35,7 @@
 
 
 def fill(store, count, prefix="m"):
-    """Append ``count`` changes, each a model of its own."""
+    """Append ``count`` changes, each with a new model; return the catalog."""
     catalog = read_head(store).unwrap().catalog
     for number in range(catalog.version + 1, catalog.version + count + 1):
         new_change = change(number, put(f"{prefix}{number}"))
--- a/tests/test_catalog_feed.py
+++ b/tests/test_catalog_feed.py
@@ -1,4 +1,4 @@
-"""The configuration reaches every entry, and none ever goes back."""
+"""Tests of the distribution of the configuration; versions never decrease."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 VMS = [f"vm{number}" for number in range(12)]
 PROPAGATION_LIMIT = 6
-"""Seconds in which a change must be in force everywhere."""
+"""Seconds within which a change must be in force on all entries."""
 
 
 @pytest.fixture(autouse=True)
@@ -57,10 +57,10 @@
 
 
 def test_a_withdrawn_key_is_refused_by_an_entry_without_the_store():
-    """An entry loses its way to the store; then a key is withdrawn.
+    """An entry loses its connection to the store; then a key is withdrawn.
 
-    The holder of the key would go on through this entry for as long as the cut
-    lasts. Its peers tell it, whether or not it was to watch the store itself.
+    Without changes from peers, the entry would accept the key until the connection
+    is restored. Peers send the change to watchers and to all other entries.
     """
     for cut_vm in (watcher_vms(started())[0], VMS[5]):
         fleet = started()
@@ -81,9 +81,10 @@
 
 
 def test_the_next_in_rank_watches_when_all_watchers_lose_the_store():
-    """The three entries that watch the store lose their way to it at once.
+    """The three watchers lose their connections to the store at the same time.
 
-    All others rely on them, and the region would stay at its version.
+    All other entries depend on the watchers, so without a new election the region
+    would stay at its version.
     """
     fleet = started()
     for vm in watcher_vms(fleet):
@@ -96,9 +97,10 @@
 
 
 def test_a_region_without_the_store_updates_from_another():
-    """One region loses its way to the store, but not to the other regions.
+    """A region loses its connections to the store, but not to the other regions.
 
-    Nobody in it can watch, so all of it would stay at its version.
+    No entry of the region can watch the store, so without pulls from other regions
+    the whole region would stay at its version.
     """
     fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
     for vm, entry in fleet.entries.items():
@@ -110,7 +112,7 @@
 
 
 def test_partitioned_regions_update_from_the_store():
-    """Two regions lose each other for an hour, and both still reach the store."""
+    """Two regions are partitioned from each other and still reach the store."""
     fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
     fleet.regions_partitioned = True
     fill(fleet.store, 1, "n")
@@ -119,10 +121,10 @@
 
 
 def test_watchers_write_snapshots_while_they_watch():
-    """Changes come for days while the watches never break.
+    """Changes arrive for days while no watch fails.
 
-    Without snapshots the list of changes, which each newcomer and each command
-    reads whole, would grow with every change.
+    Without snapshots the list of changes, which each new entry and each operator
+    command reads as a whole, would grow with every change.
     """
     fleet = started(VMS[:3])
     for _ in range(3):
@@ -136,10 +138,10 @@
 
 
 def test_a_new_entry_in_an_outage_gets_its_peers_version():
-    """An entry VM is replaced while the store is down.
+    """The VM of an entry is replaced while the store is down.
 
-    It must serve nobody before it has a configuration, and must not wait for
-    the store when its peers hold one.
+    The new entry must not become ready without a configuration, and must not wait
+    for the store if its peers have one.
     """
     fleet = started(VMS[:3])
     fleet.store.faults.down = True
@@ -164,7 +166,7 @@
 def test_a_long_outage_keeps_the_configuration_in_force():
     """The store is down for ten minutes while traffic runs.
 
-    An entry that distrusted its old configuration would refuse every caller.
+    An entry that rejected its old configuration would refuse all requests.
     """
     fleet = started(VMS[:3])
     fleet.store.faults.down = True
@@ -175,9 +177,9 @@
 
 
 def test_versions_never_decrease():
-    """A peer that lags tells of old changes, or an old snapshot arrives late.
+    """A lagging peer sends old changes, or an old snapshot arrives late.
 
-    Callers would see a withdrawn key work again.
+    If the catalog reverted, a withdrawn key would become valid again.
     """
     feed = CatalogFeed(lambda: 0.0)
     seen = []
@@ -193,7 +195,7 @@
 
 
 def freeze_during_change(fleet, vm):
-    """Freeze an entry for 30 s in which the configuration moves on."""
+    """Freeze an entry for 30 s, followed by a change; return the feed of the entry."""
     fleet.frozen[vm] = []
     fleet.entries[vm].sync.exchange.pull()
     for _ in range(10):
@@ -205,10 +207,10 @@
 
 @pytest.mark.parametrize("cut", [False, True])
 def test_a_thawed_entry_pulls_before_it_admits_requests(cut):
-    """An entry is frozen while a key is withdrawn, and then runs on.
+    """An entry is frozen while a key is withdrawn, and then resumes.
 
-    In its sockets lie answers from before the withdrawal, which say that its
-    configuration is the newest.
+    Its socket buffers contain answers sent before the withdrawal, which confirm
+    its outdated configuration.
     """
     fleet = started()
     vm = VMS[4]
@@ -225,10 +227,10 @@
 
 
 def test_an_isolated_thawed_entry_admits_requests_after_a_timeout():
-    """A frozen entry thaws cut off from the store and all peers.
+    """A frozen entry thaws without a connection to the store or any peer.
 
-    Refusing for ever would cost callers who have done nothing wrong; its
-    sidecars know the newer version and refuse what is too old.
+    Blocking all requests for the whole partition would affect valid callers. The
+    sidecars know the newer version and refuse requests under the old one.
     """
     fleet = started()
     vm = VMS[4]
@@ -246,9 +248,10 @@
 
 
 def test_a_change_that_cannot_be_read_is_not_skipped():
-    """A newer release writes a change of a form that this one does not know.
+    """A newer release writes a change in a format that this release cannot read.
 
-    Skipping it would leave two processes at one version with different content.
+    If the change were skipped, two processes would have different content at one
+    version.
     """
     fleet = started(VMS[:2])
     fleet.store.create(Kind.CHANGE, f"{4:012d}", {"number": 4}).unwrap()
@@ -291,7 +294,7 @@
 
 
 class Chaos:
-    """Does random harm to a fleet and remembers what was accepted."""
+    """Injects random faults into a fleet and records the accepted catalogs."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -332,9 +335,10 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_versions_increase_and_converge_under_faults(seed):
-    """Cuts, freezes and outages come at any moment and together, while operators
-    go on making changes. No process may go back or hold what was not accepted,
-    and once all is mended every one is at the newest version in a few seconds.
+    """Partitions, freezes and outages occur at random and at the same time, while
+    operators commit changes. No entry may revert to an older version or have a
+    catalog that was not accepted. Once all faults end, every entry reaches the
+    newest version within the limit.
     """
     chaos = Chaos(seed)
     faults = [chaos.commit] * 3 + [chaos.cut_store, chaos.cut_peers, chaos.freeze]
--- a/tests/test_catalog_log.py
+++ b/tests/test_catalog_log.py
@@ -1,4 +1,4 @@
-"""The log of changes: one order, and no success that is not one."""
+"""Tests of the change log: one order of changes, and no false success."""
 
 import threading
 
@@ -31,10 +31,10 @@
 
 
 def test_two_operators_at_once_get_one_winner_and_one_conflict():
-    """Two operators change one model at the same moment.
+    """Two operators change one model at the same time.
 
-    If both were told of success, one of them would find the other's revision
-    serving and nobody would know since when.
+    If both commits reported success, the change of one operator would be lost
+    without notice.
     """
     store = StoreState()
     base = fill(store, 1)
@@ -68,10 +68,10 @@
 
 
 def test_a_change_that_loses_its_base_to_another_is_refused():
-    """One operator deletes a model while another enters an adapter of it.
+    """One operator deletes a model while another adds an adapter of the model.
 
-    The two touch different entries, yet together they leave an adapter whose
-    base no engine could ever load.
+    The two changes modify different entries, but together they would leave an
+    adapter whose base no engine can load.
     """
     store = StoreState()
     base = fill(store, 2)
@@ -84,10 +84,10 @@
 
 
 def test_a_lost_answer_is_recognised_as_success():
-    """The store takes the change, and its answer is lost on the way.
+    """The store writes the change, and its answer is lost.
 
-    The operator must not be told of a conflict with the own change, nor may the
-    change stand in the log twice.
+    The commit must not report a conflict with its own change, nor may the log
+    contain the change twice.
     """
     store = StoreState()
     base = fill(store, 1)
@@ -97,9 +97,9 @@
 
 
 def test_a_lost_answer_is_recognised_after_a_conflicting_change():
-    """The answer is lost, and another operator's change of the same model comes
-    before the second try. Calling that a conflict would say that nothing was
-    written, and the log shows both changes.
+    """The answer is lost, and another operator changes the same model before the
+    second attempt. A reported conflict would state that nothing was written,
+    although the log contains both changes.
     """
     store = StoreState()
     base = fill(store, 1)
@@ -119,10 +119,10 @@
 
 
 def test_an_outage_is_never_reported_as_success():
-    """The store goes down before an operator's change, or in the middle of it.
+    """The store goes down before the write of a change, or during the write.
 
-    Nothing may be called accepted then: before the write it is known to have
-    failed, after it the operator is told that it is not known.
+    The commit must not report success: an outage before the write is a failure,
+    an outage during the write leaves the result unknown.
     """
     store = StoreState()
     base = fill(store, 1)
@@ -153,9 +153,9 @@
 
 
 def test_a_snapshot_with_a_part_missing_is_not_used():
-    """The process that writes a snapshot in parts is killed after the first.
+    """A process that writes a snapshot in parts is killed after the first part.
 
-    A newcomer that took the part for the whole would not know most models.
+    A new process that used this part as the whole catalog would lack most models.
     """
     store = StoreState()
     catalog = fill(store, INTERVAL)
@@ -180,8 +180,9 @@
 def test_a_writer_frozen_past_a_compaction_reports_no_lost_change(number):
     """An operator's command is frozen between its read and its write.
 
-    Meanwhile its number was taken, compacted and deleted, so that the create
-    succeeds; the operator would be told of a change that no process applies.
+    Meanwhile another change of the same number is written, compacted and deleted,
+    so the create succeeds. The command would report success for a change that no
+    process applies.
     """
     store = StoreState()
     base = fill(store, number - 1, "k")
--- a/tests/test_config_golden.py
+++ b/tests/test_config_golden.py
@@ -1,4 +1,4 @@
-"""Keys and configuration while entries are cut off, frozen and replaced."""
+"""Sessions on keys and configuration with isolated, frozen and replaced entries."""
 
 import re
 import signal
@@ -15,7 +15,7 @@
 from persimmonhitch.catalog.gate import FREEZE_GAP_S
 
 PROPAGATION_LIMIT_S = 6.0
-"""Seconds within which a change is in force everywhere."""
+"""Seconds within which a change must be in force on all entries."""
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SLOT = "/v1/services/ledger/slots"
 SLOW = "/v1/services/slow/slots"
@@ -24,7 +24,7 @@
     + "[service slow]\ncost = 1\n"
 )
 ONE_REQUEST = "8\n[limits]\nconcurrency = 1"
-"""Memory of no meaning here, and the limit of the sidecar."""
+"""Memory, irrelevant for a service, and the limit of concurrent requests."""
 
 
 @pytest.fixture(scope="module")
@@ -65,7 +65,7 @@
 
 
 def wait_version(fleet, target, entries=ENTRIES):
-    """Wait until a version is in force; return how long it took."""
+    """Wait until a version is in force on all entries; return the seconds waited."""
     started_at = time.monotonic()
     for entry in entries:
         wait_for(lambda e=entry: version(fleet, e) >= target, f"{target} at {entry}")
@@ -73,7 +73,7 @@
 
 
 def send_request(fleet, entry):
-    """Send a booking that lies in the entry's socket; return its connection."""
+    """Send a booking without reading the response; return its connection."""
     conn = HTTPConnection(fleet.urls[entry].removeprefix("http://"), timeout=30)
     headers = {"Authorization": f"Bearer {fleet.keys['fretes']}"}
     conn.request("POST", SLOT, headers=headers)
@@ -81,25 +81,25 @@
 
 
 def active_requests(fleet, entry):
-    """Return how many calls of services an entry has under way."""
+    """Return the number of service requests in progress at an entry."""
     text = fleet.http.request("GET", fleet.urls[entry] + "/metrics").data.decode()
     found = re.search(r'^http_server_active_requests.*"service".* (\S+)$', text, re.M)
     return float(found[1]) if found else 0.0
 
 
 def run_and_queue(fleet, pool):
-    """Let one booking run and another wait behind it; return both."""
+    """Start a booking and a second one that queues; return both futures."""
     first = pool.submit(post_slot, fleet, "entry-1", path=SLOW)
-    wait_for(lambda: fleet.runs("service-2") == [1], "the first to run")
+    wait_for(lambda: fleet.runs("service-2") == [1], "the first booking to run")
     second = pool.submit(post_slot, fleet, "entry-1", path=SLOW)
-    wait_for(lambda: active_requests(fleet, "entry-1") == 2.0, "the second to wait")
+    wait_for(lambda: active_requests(fleet, "entry-1") == 2.0, "a queued booking")
     return first, second
 
 
 def test_withdrawn_keys_session(fleet):
-    """A key is withdrawn while one entry is cut from the store and another is
-    frozen. Its holder must get in nowhere after a few seconds, and not at the
-    first instant in which the frozen entry runs again.
+    """A key is withdrawn while one entry has no connection to the store and another
+    entry is frozen. All entries must refuse the key after a few seconds, and the
+    frozen entry must refuse it immediately after it resumes.
     """
     session = Session("withdrawn_keys")
     wait_version(fleet, 2)
@@ -134,7 +134,7 @@
     fleet.withdraw_key("fretes")
     wait_version(fleet, 7, ENTRIES[:2])
     conns = [send_request(fleet, "entry-3") for _ in range(8)]
-    wait_for(lambda: time.monotonic() > end, "a freeze that shows")
+    wait_for(lambda: time.monotonic() > end, "a freeze longer than the gap")
     fleet.processes["entry-3"].signal(signal.SIGCONT)
     statuses = {conn.getresponse().status for conn in conns}
     session.add("eight calls that arrived while it was frozen:", *statuses)
@@ -144,9 +144,9 @@
 
 
 def test_outage_session(fleet):
-    """The store goes down just after an operator's change. Whatever became of the
-    change, every entry must say the same and none may go back; an entry that is
-    replaced meanwhile serves nobody until it has learnt from the others.
+    """The store goes down just after an operator's change. Whether or not the change
+    was written, all entries must have the same version and none may revert. A new
+    entry must refuse requests until it has the configuration from its peers.
     """
     session = Session("config_outage")
     fleet.issue_key("fretes")
@@ -187,7 +187,7 @@
 
 
 def write_lists(fleet, name, rate):
-    """Write the two lists with a rate of the first plan; return their paths."""
+    """Write the two lists with ``rate`` in the first plan; return their paths."""
     accounts, plans = fleet.folder / "accounts.ini", fleet.folder / f"{name}.ini"
     accounts.write_text(ACCOUNTS)
     plans.write_text(PLANS.replace("rate = 5000", f"rate = {rate}"))
@@ -195,10 +195,10 @@
 
 
 def test_two_operators_race_over_http(fleet):
-    """Two operators apply different lists in the same second, many times over.
+    """Two operators repeatedly apply different lists at the same time.
 
-    Two successes would leave one of them with a rate that is not in force, two
-    conflicts both without a way on.
+    Two concurrent successes would drop the rate of one operator; two conflicts
+    would block both operators.
     """
     for race in range(3):
         rates = {name: 7000 + 100 * race + i for i, name in enumerate(("ana", "bo"))}
@@ -208,7 +208,7 @@
         }
         texts = {name: run.communicate(timeout=30)[0] for name, run in runs.items()}
         codes = {name: run.returncode for name, run in runs.items()}
-        # One that starts late reads the other's change and builds upon it.
+        # Both may succeed: a late command reads the other change and is based on it.
         assert 0 in codes.values() and set(codes.values()) <= {0, 3}, texts
         if 3 in codes.values():
             loser = next(name for name, code in codes.items() if code == 3)
@@ -222,9 +222,9 @@
 
 
 def test_a_slow_store_and_a_lost_answer(fleet):
-    """Each call of the store takes a fifth of a second, and then the answer to an
-    operator's write is lost. The operator must hear of success, and the key that
-    is shown must work everywhere in a few seconds.
+    """Each call of the store takes 0.2 s, and the answer to an operator's write is
+    lost. The command must report success, and all entries must accept the printed
+    key within a few seconds.
     """
     fleet.set_faults(delay=0.2, lost_answers=1)
     run = fleet.ctl("ana", "key", "issue", "fretes")
--- a/tests/test_config_lists.py
+++ b/tests/test_config_lists.py
@@ -1,4 +1,4 @@
-"""Both lists are checked whole, and ``get`` gives back what ``apply`` took."""
+"""Tests that both lists are checked completely and that ``get`` output parses back."""
 
 import pytest
 from catalog_help import ACCOUNTS, LISTS, PLANS, lists
--- a/tests/test_config_stale.py
+++ b/tests/test_config_stale.py
@@ -1,4 +1,4 @@
-"""A sidecar refuses the requests of an entry that lags too far."""
+"""Tests of refusals by a sidecar of requests with an outdated configuration."""
 
 import time
 
@@ -14,10 +14,10 @@
 
 
 def test_a_sidecar_refuses_an_isolated_entry(monkeypatch):
-    """An entry reaches neither the store nor a peer and keeps its old keys.
+    """An entry reaches neither the store nor a peer and still accepts old keys.
 
-    The holder of a withdrawn key would still get bookings made through it; the
-    sidecar has heard of the newer version from another entry, and refuses.
+    Without the check, bookings with a withdrawn key would run through this entry.
+    The sidecar received the newer version from another entry and refuses them.
     """
     monkeypatch.setattr(staleness, "GRACE_S", 0.0)
     started = start_sidecar(ServiceApp(), UpstreamKind.SERVICE)
@@ -27,7 +27,7 @@
         return started.conn.submit(sub).get(5.0)
 
     started.conn.link.send(ConfigNotice(2))
-    wait_for(lambda: started.server.version == 2, "the note")
+    wait_for(lambda: started.server.version == 2, "the notice")
     stale = first_frame(1)
     assert isinstance(stale, Fail) and stale.code is ErrorCode.STALE_CONFIG
     assert (stale.verdict, stale.retry_after) == (Verdict.NOT_RUN, 1.0)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: only hashes are kept, and a key is good for its own account alone."""
+"""Tests of keys: only hashes are stored, and a key is valid for one account."""
 
 from dataclasses import replace
 
@@ -47,9 +47,10 @@
 
 
 def test_the_keys_of_a_removed_account_stay_withdrawn():
-    """An account is removed and a later customer gets its name.
+    """An account is removed, and a later customer gets the same account name.
 
-    The first customer's key would open the second one's account.
+    Without the withdrawal, a key of the first customer would authenticate the
+    account of the second customer.
     """
     key, catalog = issue_for("agent")
     removed = replace(lists(), accounts={"coop": lists().accounts["coop"]})
