--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -143,10 +143,8 @@
         return now - max(self._received_at.get(vm, since), since) > UNRESPONSIVE_AFTER_S
 
     def _recent_senders(self, direction: RelayDirection, now: float) -> frozenset[Vm]:
-        senders = self._senders[direction]
-        return frozenset(
-            vm for vm, at in senders.items() if now - at <= NEIGHBOUR_TTL_S
-        )
+        times = self._senders[direction]
+        return frozenset(vm for vm, at in times.items() if now - at <= NEIGHBOUR_TTL_S)
 
     def _other_roots(
         self, is_root: bool, awaited: dict[Vm, float], now: float
