--- a/src/persimmonhitch/decide/concurrency.py
+++ b/src/persimmonhitch/decide/concurrency.py
@@ -153,8 +153,8 @@
         self._limit = min(self._limit + step, float(self._bounds.maximum))
 
     def _decrease_if_settled(self) -> None:
-        # After a decrease, more requests run than the new limit allows until some
-        # end, and all stay slow meanwhile. Further decreases for the same requests
+        # After a decrease, more requests run than the new limit allows until some have
+        # ended, and all remain slow until then. Further decreases for these requests
         # would reduce the limit to its minimum, and callers would queue in front of
         # an engine with spare capacity.
         if self._running <= self.limit:
@@ -162,9 +162,9 @@
 
     def _decrease(self, factor: float) -> None:
         self._slow_start = False
-        # Start from the peak of running requests. A high limit left over from an
-        # idle period would otherwise take many steps to reach the actual load,
-        # while callers wait on slow streams.
+        # Start from the peak of running requests. Otherwise an unused high limit would
+        # require many decreases to reach the actual load, while callers wait on slow
+        # streams.
         in_use = min(self._limit, float(max(self._peak, self._bounds.minimum)))
         self._limit = max(in_use * factor, float(self._bounds.minimum))
 
--- a/src/persimmonhitch/decide/copy_count.py
+++ b/src/persimmonhitch/decide/copy_count.py
@@ -55,7 +55,7 @@
 
 @dataclass
 class CopyCount:
-    """Wanted number of copies of one model; rises at once, falls one by one."""
+    """Wanted number of copies of one model; rises immediately, falls one by one."""
 
     wanted: int = 1
     floor: int = 1
@@ -63,7 +63,7 @@
     _changed_at: float = field(default=-math.inf)
 
     def update(self, demand: float, rate: float, now: float) -> int:
-        """Return the wanted copies if an upstream serves ``rate`` tokens per second."""
+        """Return the wanted copies if each serves ``rate`` tokens per second."""
         spare = 1 if demand >= SPARE_LOAD * rate else 0
         self.floor = copies_for(demand, rate * TARGET_LOAD)
         retained = copies_for(demand, rate * REMOVAL_LOAD) + spare
--- a/src/persimmonhitch/decide/fairness.py
+++ b/src/persimmonhitch/decide/fairness.py
@@ -295,8 +295,9 @@
 def _service_order(item: QueuedRequest, now: float) -> tuple[bool, float]:
     """Return the sort key of a request within its account.
 
-    Requests that can still meet the first-token target come first, by arrival; late
-    requests follow by deadline. Serving a late request first would make both late.
+    Requests that can still meet the first-token target precede late requests. The
+    former are sorted by arrival, the latter by deadline. Serving a late request first
+    would make both late.
     """
     late = item.is_late(now)
     return late, item.deadline_at if late else item.arrived_at
--- a/src/persimmonhitch/decide/health.py
+++ b/src/persimmonhitch/decide/health.py
@@ -1,15 +1,16 @@
 """Share of traffic that an upstream gets after failures.
 
 Load pattern: an upstream crashes, becomes unresponsive, or fails some of its requests
-while its health check is good. Until its record expires, seconds later, every entry
-would still send its full share of the requests there, and those that may not be
-repeated would be lost. On its return, all entries would send all requests at once.
-
-A connection that is refused or times out ejects an upstream at once, since it can run
-no request: for ``MIN_EJECT_S``, doubled at each repeat up to ``MAX_EJECT_S``. Failed
-answers eject an upstream if they are ``EJECT_AFTER_FAILURES`` of its last
-``WINDOW_ANSWERS``; they need not be consecutive, since an upstream that loses some
-requests answers others in between. An upstream without output for
+while its health check is good. Until its registration record expires, seconds later,
+every entry would still send its full share of the requests there, and those that may
+not be repeated would be lost. When the upstream recovers, all entries would send it all
+their requests at once.
+
+A connection that is refused or times out ejects an upstream at once, since the upstream
+can run no request. The ejection lasts ``MIN_EJECT_S``, doubled at each repeat up to
+``MAX_EJECT_S``. Failed answers eject an upstream if they are ``EJECT_AFTER_FAILURES``
+of its last ``WINDOW_ANSWERS``; they need not be consecutive, since an upstream that
+loses some requests answers others in between. An upstream without output for
 ``UNRESPONSIVE_AFTER_S`` while requests run there gets no further requests: a VM without
 power refuses no connection, and the loss of a request sent there would only be noticed
 when its caller gives up.
--- a/src/persimmonhitch/decide/missing.py
+++ b/src/persimmonhitch/decide/missing.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class AvailabilityChange:
-    """Change of a model's availability, with the seconds for which it was missing."""
+    """Change of a model's availability, and the seconds for which it was missing."""
 
     model: Model
     availability: Availability
--- a/src/persimmonhitch/decide/outliers.py
+++ b/src/persimmonhitch/decide/outliers.py
@@ -1,10 +1,11 @@
 """Ejection of upstreams that are slower than their peers or fail.
 
 Load pattern: one slow upstream. It answers, so no request counts as failed, yet every
-caller routed to it waits. Balancing by the number of in-flight requests still sends it
-a considerable part of the traffic. An upstream is compared with the peers that serve
-the same models, and only an upstream slow relative to them is ejected. If all are slow,
-the cause is the load, and an ejection would increase the load of the others.
+caller routed to it waits. Although it finishes fewer requests, balancing by in-flight
+requests still sends it a considerable part of the traffic. An upstream is compared with
+the peers that serve the same models, and only an upstream slow relative to them is
+ejected. If all are slow, the cause is the load, and an ejection would increase the load
+of the others.
 
 The compared latency is the gap between tokens, which depends neither on the length of a
 request nor on queueing or a cold cache. An outlier exceeds both ``SLOW_FACTOR`` times
@@ -86,7 +87,7 @@
         self._stats.pop(upstream, None)
 
     def traffic_share(self, now: float, upstream: Upstream, model: Model) -> float:
-        """Return the share of its normal traffic for a model that an upstream gets."""
+        """Return the share of its normal traffic for a model to send to an upstream."""
         peers = self._copies.get(model, ())
         # If all copies are ejected, slow answers are better than none.
         if all(self._is_ejected(now, peer) for peer in peers):
--- a/src/persimmonhitch/decide/overlay.py
+++ b/src/persimmonhitch/decide/overlay.py
@@ -1,7 +1,7 @@
 """Relay tree by which updates of each entry reach the whole fleet.
 
-Load pattern: every entry publishes updates a few times a second that all others need.
-If each entry sent its updates directly to all others, the number of messages would grow
+Load pattern: every entry publishes updates several times a second for all others. If
+each entry sent its updates directly to all others, the number of messages would grow
 with the square of the number of entries. With dozens of entries the messages would
 exceed the processor time and bandwidth of a small VM and delay callers' requests.
 
@@ -11,7 +11,7 @@
 entries briefly disagree about which of them respond. An entry that sends nothing for
 ``UNRESPONSIVE_AFTER_S`` is skipped until it sends again, and is probed each
 ``PROBE_INTERVAL_S``. The order depends on the list of entries alone, so all entries
-agree without messages: VMs with the most processor time come first.
+agree without messages: VMs with more processor cores precede others.
 """
 
 import hashlib
@@ -160,7 +160,7 @@
         for member in members:
             if not self._is_unresponsive(member.vm, awaited, now):
                 return member.vm
-        # No entry of the zone responds; any of them may be the first to recover.
+        # No entry of the zone responds. Try each in turn, since any may recover first.
         return members[int(now / UNRESPONSIVE_AFTER_S) % len(members)].vm
 
     def _standby(self, zone_members: list[Member], parent: Vm | None) -> Vm | None:
--- a/src/persimmonhitch/decide/poison.py
+++ b/src/persimmonhitch/decide/poison.py
@@ -32,14 +32,14 @@
 BLOCK_CRASHES: Final = 3
 """Unexplained crashes after which a request is blocked."""
 TIED_LIMIT: Final = 6
-"""Crashes after which requests that were lost together each time are all blocked."""
+"""Crashes after which requests lost together in each of them are all blocked."""
 SETTLE_S: Final = 0.6
-"""Seconds after a crash until all entries have reported the requests they lost; before
-that, one request may appear to be the only suspect."""
+"""Seconds after a crash until all entries have reported their lost requests; earlier, a
+request may wrongly appear to be the only suspect."""
 RECENT_START_S: Final = 1.0
 """Seconds from the start of its answer during which a request counts as just begun."""
 BLOCK_TTL_S: Final = 3600.0
-"""Duration of a block; a later version of the upstream may run the request."""
+"""Duration of a block; limited since a later upstream version may run the request."""
 UNCONFIRMED_TTL_S: Final = 5.0
 """Lifetime of a reported crash without confirmation."""
 CRASH_TTL_S: Final = 3600.0
--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -12,7 +12,7 @@
 which to ask again. An entry that gets no reply falls back to an equal share of the rate
 and starts with an empty bucket, since a failed leader may have granted the available
 requests already. A grant expires after ``GRANT_TTL_S``, so that grants of several
-seconds are not used at once.
+seconds are not used in one burst.
 """
 
 import math
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -152,7 +152,7 @@
     engines: Iterable[EngineView],
     cold_allowed: bool,
 ) -> Move | None:
-    """Return the load with the largest gain, or None if none exceeds its cost."""
+    """Return the load with the largest gain, or None if no load has a positive gain."""
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in demand if m in specs and state.relief(m) > 0]
     best_gains = [_best(state, model, cold_allowed) for model in requested]
@@ -207,7 +207,7 @@
 
 
 def _best(state: _PlacementState, model: Model, cold_allowed: bool) -> _Gain | None:
-    """Return the load of one model with the largest gain, if any exceeds its cost."""
+    """Return the load of a model with the largest gain, None if no gain is positive."""
     best: _Gain | None = None
     relief = state.relief(model)
     if relief < URGENT_RELIEF and state.load_count() >= state.max_rare_loads():
@@ -286,8 +286,8 @@
     """Return a load that restores a model that staging has evicted.
 
     The models initially resident on an engine were placed by an operator who knows
-    which models are busy. They are restored only without any demand; with demand,
-    ``next_move`` decides.
+    which models are busy. They are restored only while there is no demand at all;
+    otherwise ``next_move`` chooses the models.
     """
     state = _PlacementState(specs, demand, list(engines))
     if any(demand.values()):
--- a/src/persimmonhitch/decide/retries.py
+++ b/src/persimmonhitch/decide/retries.py
@@ -26,7 +26,7 @@
 OUTCOME_UNKNOWN: Final = frozenset({ErrorCode.UPSTREAM_LOST, ErrorCode.INTERNAL})
 """Failures that leave unknown whether the request ran."""
 RETRY_RATIO: Final = 0.1
-"""Retries earned per request."""
+"""Retries added to the budget per request."""
 MIN_RETRIES_PER_S: Final = 1.0
 MAX_SAVED: Final = 20.0
 """Maximum number of retries that a budget accumulates."""
--- a/src/persimmonhitch/decide/targets.py
+++ b/src/persimmonhitch/decide/targets.py
@@ -152,7 +152,7 @@
         return adapters
 
     def load(self, model: Model, upstream: Upstream) -> None:
-        """Apply the load of a model."""
+        """Apply the start of a load."""
         need = self.needs[model]
         self.free[upstream] -= need.memory
         self.loading[model].add(upstream)
--- a/src/persimmonhitch/decide/wait_limits.py
+++ b/src/persimmonhitch/decide/wait_limits.py
@@ -26,7 +26,7 @@
 """Seconds after which a slot may be free: about the duration of a short answer."""
 LOAD_REPORT_TIMEOUT_S: Final = 0.5
 """Seconds within which the leader reports that a load has begun. Without a report there
-may be no load at all, since every slot may serve a model of higher demand."""
+may be no load, since every slot may be in use by a model of higher demand."""
 LIMIT_REPLY_TIMEOUT_S: Final = 0.3
 """Seconds within which the leader answers whether an upstream that limits its requests
 accepts one more."""
@@ -50,7 +50,7 @@
     """Return the monotonic time until which a request waits for a model load.
 
     Callers disconnect from a stream without events, often long before their deadline. A
-    request that waits for a load past that moment gets no answer and no time to retry.
+    request that waits longer for a load gets no answer and no time to retry.
     """
     end = request.arrived + (request.deadline_at - request.arrived) * LOAD_WAIT_SHARE
     return min(end, request.first_event_by - FIRST_EVENT_S)
--- a/src/persimmonhitch/fleet/config.py
+++ b/src/persimmonhitch/fleet/config.py
@@ -103,7 +103,7 @@
 
     name: Account
     rank: int | None
-    """Overrides the rank of the route if not None."""
+    """Rank that overrides that of the route; None for no override."""
     rate: float
     burst: float
     flat_cost: Tokens
@@ -122,4 +122,4 @@
 
 
 EMPTY_CONFIG = FleetConfig(ConfigVersion(0))
-"""Configuration in force until the first one is read from the store."""
+"""Configuration until the first version is read from the store."""
