--- a/src/persimmonhitch/planner/lease.py
+++ b/src/persimmonhitch/planner/lease.py
@@ -1,17 +1,18 @@
-"""The planner's lease in the object API: one holder, and an epoch that only rises.
-
-Two planners at once would each unload the copy that the other counts on. The lease
-keeps it to one: a holder counts its time from before it sent the write that gave it
-the lease, a standby from when it first saw that write, so the holder stops first
-whatever their clocks say. A holder that was paused finds its time over when it looks
-before it acts. What it sent just before still arrives; sidecars refuse it by the
-epoch, which each new holding raises.
-
-While the store is away nobody can take or renew the lease, for hours if need be. An
-upstream that dies then would leave its models without a copy. The last holder stays
-as caretaker: it may load what nobody serves, and nothing else. Should another have
-taken the lease unseen, sidecars refuse the caretaker's epoch, and where they don't yet
-know the newer one a load at worst adds a copy.
+"""A lease in the object API: a single holder and an epoch that only increases.
+
+Two concurrent planners would each unload the copy on which the other relies, so only
+the lease holder acts. The holder measures the duration from before it sent the write,
+a standby from when it first read the result, so the holder stops first whatever their
+clocks show. A holder that was paused finds the lease expired when it checks before it
+acts. Orders sent just before the pause still arrive; sidecars refuse them by the
+epoch, which increases with each acquisition.
+
+While the store is unavailable, possibly for hours, the lease can neither be acquired
+nor renewed. If an upstream crashed in that time, its models would have no copy. The
+last holder therefore becomes the caretaker, which may load models that no upstream
+serves and give no other order. If another process has acquired the lease unnoticed,
+sidecars refuse the caretaker's epoch; a sidecar that has not received the newer epoch
+at worst loads an extra copy.
 """
 
 import threading
@@ -27,21 +28,21 @@
 from ..store.objects import Kind, ObjectStore, StoredObject, StoreError, Version
 
 EXPIRY_MARGIN: Final = 0.05
-"""Part of the duration by which the holder stops early: clocks run unevenly."""
+"""Fraction of the duration by which the holder stops early, against clock drift."""
 RENEWALS_PER_LEASE: Final = 3
 NO_HOLDER: Final = ""
 EPOCH_BITS: Final = 16
-"""Bits of an epoch below the store's era: holdings within one era."""
+"""Low bits of an epoch that count acquisitions within one era of the store."""
 
 
 def boot_clock() -> float:
-    """Return seconds that go on while the VM is suspended."""
+    """Return a monotonic time in seconds that includes suspension of the VM."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True)
 class LeaseSpec:
-    """What the store's object says."""
+    """Content of the lease object in the store."""
 
     holder: str
     incarnation: str
@@ -49,11 +50,11 @@
     renewals: int
     duration: float
     last: str = NO_HOLDER
-    """Who held it before it was released; whoever is next has to know."""
+    """VM of the last holder, set on release; the next holder needs it."""
 
     @classmethod
     def from_object(cls, obj: StoredObject) -> "LeaseSpec":
-        """Return the lease of a stored object."""
+        """Parse a stored object."""
         spec = obj.spec
         return cls(
             str(spec["holder"]),
@@ -65,37 +66,37 @@
         )
 
     def to_spec(self) -> dict[str, Any]:
-        """Return it as the store keeps it."""
+        """Return the content to store."""
         return dict(vars(self))
 
 
 @dataclass(frozen=True)
 class Predecessor:
-    """Who held the lease before, as the store's object tells it."""
+    """Previous holder of the lease, as recorded in the lease object."""
 
     vm: Vm
     incarnation: Incarnation
     held_s: float
-    """Seconds for which it held the lease at least."""
+    """Minimum time for which it held the lease, from its count of renewals."""
 
 
 class LeaseKeeper:
-    """Takes, renews and releases the lease; ``epoch`` may be called by any thread.
+    """Acquires, renews and releases the lease; ``epoch`` is safe to call on any thread.
 
     Parameters
     ----------
     store : ObjectStore
-        Where the lease is.
+        Stores the lease object.
     name : str
-        Name of the lease's object.
+        Name of the lease object.
     vm, incarnation
-        Who holds it.
+        Identity of this process as a holder.
     duration : float
-        Seconds that one renewal lasts.
+        Seconds for which a renewal is valid.
     clock : callable
-        Seconds that never go back.
+        Monotonic time in seconds.
     store_era : callable
-        Returns how often the store has come back from a copy.
+        Returns the count of restores of the store from an older copy.
     """
 
     def __init__(
@@ -128,19 +129,19 @@
         self._stepped_at = 0.0
         self._peer_release: tuple[str, int] | None = None
         self._restored_at: float | None = None
-        """When it was heard that the store has come back from a copy."""
+        """When this process learned that the store was restored from an older copy."""
         self._exclusive_until = 0.0
-        """Until when nobody else may take a lease that was held at that time."""
+        """End of the lease held at a restore; nobody else can acquire it before."""
         self.predecessor: Predecessor | None = None
-        """Who held the lease before it was ours, this VM included; None for nobody."""
+        """Previous holder, which may be an earlier process on this VM, or None."""
 
     @property
     def step_interval_s(self) -> float:
-        """Return the seconds between two steps."""
+        """Return the interval at which ``step`` should be called."""
         return self._duration / RENEWALS_PER_LEASE
 
     def epoch(self) -> Epoch | None:
-        """Return the epoch held at this moment, or None."""
+        """Return the epoch if the lease is held and valid now, else None."""
         with self._lock:
             if self._held is None or self._clock() >= self._valid_until:
                 return None
@@ -148,18 +149,18 @@
 
     @property
     def renewal_failing(self) -> bool:
-        """Return whether the store's absence keeps the held lease from renewal."""
+        """Return whether the lease is held but the store is unavailable."""
         return self._store_unavailable and self._held is not None
 
     def last_renewal(self) -> tuple[Version, float] | None:
-        """Return the held lease's version and the seconds since it was sent."""
+        """Return the version of the held lease and the seconds since its write."""
         with self._lock:
             if self._held is None or self._sent is None:
                 return None
             return self._held.version, self._clock() - self._renewed_at
 
     def abandon(self) -> Epoch | None:
-        """Give the lease up without the store; return the epoch that ends."""
+        """Give up the lease without a write to the store; return its epoch."""
         with self._lock:
             epoch = self.epoch()
             self._held = self._sent = self._caretaker = None
@@ -167,24 +168,25 @@
         return epoch
 
     def receive_renewal(self, version: Version, age_s: float) -> None:
-        """Take from the holder itself when it wrote a version of the lease.
+        """Record when the holder wrote a version of the lease, as it reported itself.
 
-        The lease is over that much sooner than by this process's own looks at it, of
-        which the first would only begin to count.
+        The lease then expires earlier for this process than by its own reads of the
+        lease object, of which the first would only start the measurement.
         """
         with self._lock:
             if version != self._seen_version:
                 self._seen_version, self._seen_at = version, self._clock() - age_s
 
     def receive_release(self, vm: Vm, epoch: Epoch) -> None:
-        """Take from the holder itself that it acts under an epoch no more."""
+        """Record that the holder itself reported the end of its epoch."""
         self._peer_release = (vm, epoch)
 
     def handle_store_restore(self) -> None:
-        """Hold nothing by the word of a store that has come back from a copy.
+        """Drop the lease, as the store was restored from an older copy.
 
-        Whoever held the lease takes it anew, above its last epoch. All others wait as
-        long as it might be held: the copy may name a holder of before, or none.
+        The previous holder may acquire it again at once, with a higher epoch. Other
+        processes wait for as long as a lease can be valid, because the copy may show
+        an earlier holder or none.
         """
         with self._lock:
             now = self._clock()
@@ -197,25 +199,25 @@
             self._restored_at = now
 
     def _has_exclusive_claim(self) -> bool:
-        """Return whether this process held the lease when the store came back."""
+        """Return whether this process held a still valid lease at a restore."""
         return self._clock() < self._exclusive_until
 
     def _may_be_held_elsewhere(self) -> bool:
-        """Return whether another holder may still act on a lease that was lost."""
+        """Return whether another process may hold a lease that the store has lost."""
         restored_at = self._restored_at
         if restored_at is None or self._has_exclusive_claim():
             return False
         return self._clock() - restored_at < self._duration
 
     def caretaker_epoch(self) -> Epoch | None:
-        """Return the last epoch held, if only the store's absence ended it."""
+        """Return the last epoch if the lease expired only because the store failed."""
         with self._lock:
             if self._clock() - self._stepped_at > self._duration:
                 return None
             return self._caretaker
 
     def observe_epoch(self, epoch: Epoch) -> None:
-        """Give up a lease that somebody overtook; the next one goes higher."""
+        """Give up a lease with a lower epoch; the next epoch will be above this one."""
         with self._lock:
             self._min_epoch = max(self._min_epoch, epoch)
             if self._caretaker is not None and self._caretaker < epoch:
@@ -226,14 +228,14 @@
                 self._held = None
 
     def store_reachable(self) -> bool:
-        """Return whether the store answers a look at the lease now."""
+        """Read the lease and return whether the store is available."""
         result = self._store.get(Kind.LEASE, self._name)
         if isinstance(result, Success):
             return True
         return result.failure().error is not StoreError.UNAVAILABLE
 
     def step(self) -> None:
-        """Renew the lease, or take it where it is free; call a few times a lease."""
+        """Renew the lease or try to acquire it; call every ``step_interval_s``."""
         now = self._clock()
         paused = now - self._stepped_at > self._duration
         self._stepped_at = now
@@ -249,7 +251,7 @@
         self._try_acquire()
 
     def release(self) -> None:
-        """Let the next holder in at once."""
+        """Release the lease in the store, so that it can be acquired at once."""
         held, self._held, self._sent, self._caretaker = self._held, None, None, None
         if held is None:
             return
@@ -274,18 +276,18 @@
             self._caretaker = None
             self._acquire_existing(result.unwrap())
         elif result.failure().error is StoreError.UNAVAILABLE:
-            # The holder could not renew it meanwhile either, and is to have its time
-            # for that when the store is back.
+            # The holder could not renew the lease either. Measure its duration again
+            # when the store is available, so that the holder has time to renew.
             self._seen_version = None
         elif result.failure().error is StoreError.NOT_FOUND:
             if not self._may_be_held_elsewhere():
                 self._write(None, self._epoch_floor() + 1, 0)
 
     def _epoch_floor(self) -> int:
-        """Return an epoch that is not below any that was ever taken.
+        """Return a lower bound for the next epoch that includes all known epochs.
 
-        A copy of the store may have lost the newest; those of a later era are above all
-        of the eras before.
+        A restored copy of the store may lack the latest epochs, but every epoch of an
+        era is above all epochs of earlier eras.
         """
         return max(self._min_epoch, self._store_era() << EPOCH_BITS)
 
@@ -309,7 +311,7 @@
             return True
         if self._may_be_held_elsewhere():
             return False
-        # A process that starts on a VM is proof that the one before it has ended.
+        # At most one process runs on a VM, so an earlier holder on it has ended.
         if old.holder in (NO_HOLDER, self._vm) or old.incarnation == self._incarnation:
             return True
         if self._seen_version != obj.version:
@@ -321,8 +323,8 @@
         lease = LeaseSpec(
             self._vm, self._incarnation, epoch, renewals, self._duration
         ).to_spec()
-        # The same write sent again may have taken effect the first time, without an
-        # answer; the lease counts from then.
+        # If this write repeats one without an answer, the first may have taken effect,
+        # so the duration starts at the first.
         repeated = self._sent is not None and self._sent[:2] == (epoch, renewals)
         if not repeated:
             self._sent = (epoch, renewals, sent_at)
@@ -341,11 +343,12 @@
             self._handle_failed_renewal(failure.error)
 
     def _handle_failed_renewal(self, error: StoreError) -> None:
-        # A renewal whose answer was lost has a newer version than the one held:
-        # all later renewals would conflict and a healthy holder lose its lease.
+        # If only the answer to a renewal was lost, the stored version is newer than the
+        # held one. Every later renewal would conflict, and a healthy holder would lose
+        # its lease.
         if error is StoreError.UNAVAILABLE:
-            # The next renewal tells; a look now would take as long as this one, and
-            # whoever can reach the store is to be asked before the lease is over.
+            # The next renewal shows the result. A read would time out as well, and the
+            # time is needed to ask peers about the store before the lease expires.
             return
         if error is not StoreError.CONFLICT:
             self._held = None
@@ -359,7 +362,7 @@
             self._held = None
 
     def _adopt_unanswered_write(self, obj: StoredObject, spec: LeaseSpec) -> bool:
-        """Hold a lease whose write took effect without an answer."""
+        """Adopt a valid lease if it is the result of an own write without an answer."""
         if spec.incarnation != self._incarnation or self._sent is None:
             return False
         epoch, renewals, sent_at = self._sent
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's lease and its view of the fleet."""
+"""The lease of the planner, its view of the fleet and its orders."""
 
 import pytest
 
@@ -51,7 +51,7 @@
 
 
 def advance(clock, seconds, *keepers):
-    """Let time pass with the keepers at work."""
+    """Advance the clock in steps of 2 s and run the keepers at each step."""
     for _ in range(int(seconds / 2)):
         clock.now += 2.0
         for keeper in keepers:
@@ -69,10 +69,10 @@
 
 
 def test_a_holder_paused_past_its_lease_stops_by_its_own_clock(store, clock):
-    """A planner's VM is frozen for a minute, and another planner takes over.
+    """A planner's VM is paused for a minute and another planner acquires the lease.
 
-    If the first went on where it was, both would unload copies that the other
-    counts on, and callers would find a model gone.
+    If the first continued, each would unload copies on which the other relies, and a
+    model could end up without any copy.
     """
     a, b = new_keeper(store, clock, "a"), new_keeper(store, clock, "b")
     a.step()
@@ -84,7 +84,7 @@
 
 
 def test_two_planners_never_hold_the_lease_together(store, clock):
-    """The store goes away at every possible moment of the holder's renewals."""
+    """The store fails at each phase of the renewal cycle of the holder."""
     for pause in range(20):
         a, b = new_keeper(store, clock, "a"), new_keeper(store, clock, "b")
         advance(clock, pause, a, b)
@@ -101,10 +101,10 @@
 
 @pytest.mark.parametrize("lost", [1, 2])
 def test_a_renewal_whose_answer_was_lost_keeps_the_lease(store, clock, lost):
-    """The store takes a renewal and its answer is lost on the way.
+    """The store applies a renewal but the answer is lost.
 
-    Taken for a conflict it would cost a healthy holder its lease, and the fleet
-    its placement for as long as a lease lasts.
+    If the holder took the repeated write for a conflict, it would lose its lease, and
+    no planner would act until the lease expires.
     """
     a = new_keeper(store, clock, "a")
     a.step()
@@ -114,7 +114,7 @@
 
 
 def test_no_lease_is_taken_while_the_store_is_down(store, clock):
-    """The store is away for an hour; nobody can know who holds the lease."""
+    """While the store is unavailable, nobody can read who holds the lease."""
     a = new_keeper(store, clock, "a")
     a.step()
     store.faults.down = True
@@ -128,9 +128,9 @@
 
 
 def test_an_overtaken_holder_goes_above_the_epoch_it_saw(store, clock):
-    """Somebody deleted the lease, and sidecars know a higher epoch than it says.
+    """The lease object was deleted, and sidecars have received a higher epoch.
 
-    Every order would be refused for ever if the epoch began anew.
+    If epochs restarted at 1, sidecars would refuse every order from then on.
     """
     a = new_keeper(store, clock, "a")
     a.step()
@@ -181,10 +181,10 @@
 
 
 def test_only_inventories_of_the_current_epoch_count():
-    """A sidecar reports before it has refused the last holder's orders.
+    """A sidecar reports while it still accepts orders of the previous leader.
 
-    What it holds may change yet by such an order, so nothing is unloaded elsewhere
-    for the sake of its copy.
+    Such an order may still change its copies, so no other copy may be unloaded in
+    reliance on them.
     """
     fleet = fleet_with(inventory(epoch=1), inventory(OTHER, epoch=2))
     assert [target.upstream for target in fleet.targets(Epoch(2), {}, 0.0)] == [OTHER]
@@ -192,14 +192,14 @@
 
 
 def test_unresponsive_upstream_counts_as_loading_for_a_while():
-    """A sidecar restarts: its link is gone for a few seconds, its engine serves on.
+    """A sidecar restarts: its link is down for seconds while its engine still serves.
 
-    Loaded elsewhere at once, each restart would cost a move of every model there.
+    If its models were loaded elsewhere at once, each restart would move all of them.
     """
     fleet = fleet_with(inventory(copies=[(COPY, CopyState.LOADED, 0.0)]))
     fleet.detach(UP, fleet.members[UP].link)
     for link in (None, FakeLink()):
-        # The new life has not said yet what it holds and whether it takes orders.
+        # The restarted sidecar has not reported its inventory yet.
         if link:
             assert fleet.attach(UP, link)
             assert not fleet.attach(UP, FakeLink())
@@ -259,9 +259,9 @@
 
 
 def test_only_unreachable_models_are_loaded_while_store_is_down(store, clock):
-    """The store is down for long, and an engine dies with the only copy of a model.
+    """An engine with the only copy of a model crashes during a long store outage.
 
-    Without anyone who may order its load, its callers would wait out the outage.
+    If no planner could order a load, the model would stay unavailable for the outage.
     """
     lease, actor, link = start_planning(store, clock)
     store.faults.down = True
@@ -276,9 +276,10 @@
 
 
 def test_link_closed_before_it_was_registered_is_redialed(store, clock):
-    """A link breaks in the moment of its opening and its end is told first.
+    """A link closes while it is opened, and its closing is reported first.
 
-    Taken for open it would never be dialled again, and its models stay away.
+    If it counted as open, the sidecar would not be dialed again and its models would
+    stay unavailable.
     """
     _lease, actor, _link = start_planning(store, clock)
     dead = FakeLink()
@@ -289,10 +290,10 @@
 
 
 def test_new_leader_waits_for_all_inventories(store, clock):
-    """A planner takes the lease and has heard from one sidecar out of two.
+    """A new leader has the inventory of one sidecar out of two.
 
-    It would load every model of the other a second time. After the settling time
-    the silent one counts as dead.
+    Planning at once would load every model of the other a second time. After the
+    settling time the unresponsive sidecar counts as dead.
     """
     _lease, actor, link = start_planning(store, clock)
     actor.handle(SidecarsListed({UP: sidecar_info(UP), OTHER: sidecar_info(OTHER)}))
@@ -305,7 +306,7 @@
 
 
 def test_resumed_planner_sends_no_orders(store, clock):
-    """The planner is frozen past its lease with its links open, and thaws."""
+    """The planner is paused beyond its lease with open links, then resumed."""
     _lease, actor, link = start_planning(store, clock)
     actor.handle(SidecarMessage(UP, inventory()))
     clock.now += 60.0
--- a/tests/test_planner_golden.py
+++ b/tests/test_planner_golden.py
@@ -1,4 +1,4 @@
-"""Planners, sidecars and engines as processes, through all that befalls orders."""
+"""Planners, sidecars and engines as processes, with failures during orders."""
 
 import signal
 
@@ -13,11 +13,11 @@
 ADAPTER = "m-b-lora"
 ENGINE = ("--memory=34", "--load-time=0.2", "--unfenced")
 ORDERS = "34\n[orders]\nlimit = 1\nlist_period = 0.1\ntimeout = 5"
-"""Memory of the accelerator, and orders that are settled within a second."""
+"""Accelerator memory, and settings that settle orders within a second."""
 
 
 def plans(models):
-    """Return the list of plans with these models; a copy takes 8 GiB."""
+    """Return the list of plans with these models; a copy uses 8 GiB."""
     sections = [
         f"[model {name}]\nmemory = {SIZE}\nkv_memory = 2\nrevision = {revision}\n"
         for name, revision in models.items()
@@ -29,7 +29,7 @@
 
 
 class PlacementFleet:
-    """A fleet with models that nobody has loaded yet."""
+    """A fleet with two planners and with models that are not loaded yet."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -115,10 +115,11 @@
 
 
 def test_session_of_orders_under_failure(placed):
-    """Engines, sidecars and planners die or freeze amid orders, and orders are lost,
-    late and doubled by their repetition. The engines take orders with any fencing
-    number. Callers find every model again each time, and no engine is ever given
-    more than its memory.
+    """Engines, sidecars and planners crash or pause during orders.
+
+    Orders are lost, delayed, or duplicated by retries. The engines accept orders with
+    any fencing token. After each failure callers reach every model again, and no
+    engine is ever loaded beyond its memory.
     """
     session = Session("placement")
     session.add(
@@ -146,27 +147,27 @@
 
     placed.add("m-a", "r2")
     old = ("m-a", "r1")
-    wait_for(lambda: old not in placed.resident(), "the old revision to go")
+    wait_for(lambda: old not in placed.resident(), "unload of the old revision")
     session.add("revision changed, all answer:", placed.all_answer())
 
     placed.fleet.set_faults(down=True)
-    wait_for(lambda: "caretaker=True" in placed.log("planner-1"), "the lapse")
+    wait_for(lambda: "caretaker=True" in placed.log("planner-1"), "the expiry")
     for name in ("engine-1", "engine-2"):
         placed.restart_engine(name)
     session.add("store down, both engines replaced, all answer:", placed.all_answer())
     placed.fleet.set_faults()
-    wait_for(lambda: placed.lease()["epoch"] == 2, "a holder")
+    wait_for(lambda: placed.lease()["epoch"] == 2, "a leader")
     session.add("store back, epoch:", placed.lease()["epoch"])
 
     name = placed.lease()["holder"]
     frozen = placed.fleet.processes[name]
     frozen.signal(signal.SIGSTOP)
-    wait_for(lambda: placed.lease()["epoch"] == 3, "the next holder")
+    wait_for(lambda: placed.lease()["epoch"] == 3, "the next leader")
     session.add("holder frozen past its lease, epoch:", placed.lease()["epoch"])
     before = placed.log(name).count("event=lease_lapsed")
     sent = placed.log(name).count("event=order_sent")
     frozen.signal(signal.SIGCONT)
-    wait_for(lambda: placed.log(name).count("event=lease_lapsed") > before, "the lapse")
+    wait_for(lambda: placed.log(name).count("event=lease_lapsed") > before, "an expiry")
     session.add("an engine had more than its memory:", placed.memory())
     for engine in ("engine-1", "engine-2"):
         placed.restart_engine(engine)
@@ -176,7 +177,7 @@
 
     leader = placed.fleet.processes[placed.lease()["holder"]]
     session.add("holder asked to stop, exits with", leader.stop())
-    wait_for(lambda: placed.lease()["epoch"] == 4, "the next holder")
+    wait_for(lambda: placed.lease()["epoch"] == 4, "the next leader")
     session.add("next holder at once, epoch:", placed.lease()["epoch"])
     session.add("an engine had more than its memory:", placed.memory())
     session.check()
