--- a/src/persimmonhitch/entry/__init__.py
+++ b/src/persimmonhitch/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The process that callers reach: keys, limits, routing, answers."""
+"""HTTP front process: authentication, rate limits, routing and answers."""
--- a/src/persimmonhitch/entry/admitted.py
+++ b/src/persimmonhitch/entry/admitted.py
@@ -1,4 +1,4 @@
-"""A request that passed keys, plan and rate."""
+"""A request that passed authentication, plan checks and the rate limit."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,11 +15,13 @@
 
 @dataclass(frozen=True)
 class AdmittedCall:
-    """What the rest of a request's way needs to know of it.
+    """An admitted request, as routing and forwarding see it.
 
-    ``deadline_at`` is monotonic seconds. ``disconnected`` says whether the caller
-    has left, ``withdrawn`` whether its key has been withdrawn since, ``version``
-    the configuration's version now, which moves on while a request waits.
+    ``deadline_at`` is in seconds of the monotonic clock. Three callables return
+    the present state: ``disconnected`` whether the caller closed its connection,
+    ``key_withdrawn`` whether the caller's key was withdrawn after admission, and
+    ``config_version`` the current version of the configuration, which may grow
+    while the request waits.
     """
 
     request: RequestId
--- a/src/persimmonhitch/entry/answers.py
+++ b/src/persimmonhitch/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers, failures among them."""
+"""HTTP answers to callers, including failures."""
 
 import json
 import math
@@ -16,7 +16,7 @@
 
 
 def error_body(exc: Failure, request: RequestId) -> dict[str, Any]:
-    """Return the JSON object that describes a failure."""
+    """Return the JSON object of a failure answer."""
     error = {
         "code": exc.code.value,
         "message": exc.message,
@@ -36,7 +36,7 @@
 
 
 def unreadable_answer(status: int) -> Answer:
-    """Return the answer to a request that the server could not read."""
+    """Return the answer to a request that the web server failed to parse."""
     too_large = status == HTTP_STATUS[ErrorCode.TOO_LARGE]
     code = ErrorCode.TOO_LARGE if too_large else ErrorCode.BAD_REQUEST
     exc = Failure(code, "the request is too large or cannot be read")
@@ -44,14 +44,14 @@
 
 
 def failure_event(exc: Failure, request: RequestId) -> bytes:
-    """Return the last event of a stream that was cut short."""
+    """Return the server-sent event that ends a stream after a failure."""
     return b"data: " + json.dumps(error_body(exc, request)).encode() + b"\n\n"
 
 
 def upstream_answer(
     status: int, headers: dict[str, str], body: bytes, request: RequestId
 ) -> Answer:
-    """Return an upstream's whole answer."""
+    """Return an upstream's buffered answer without its framing headers."""
     forwarded = {k: v for k, v in headers.items() if k not in FRAME_HEADERS}
     entry_headers = {"Content-Length": str(len(body)), "X-Request-Id": str(request)}
     return Answer(status, {**forwarded, **entry_headers}, [body])
--- a/src/persimmonhitch/entry/app.py
+++ b/src/persimmonhitch/entry/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application of an entry: its paths."""
+"""WSGI application of an entry: dispatch of HTTP paths."""
 
 import threading
 from collections.abc import Callable
@@ -20,20 +20,21 @@
 
 
 class EntryApp:
-    """Routes requests; counts those under way.
+    """Dispatches HTTP requests to their handlers.
 
     Parameters
     ----------
     gateway : Gateway
-        Answers calls.
+        Handles requests for models and services.
     metrics : Metrics
-        Shown at ``/metrics``.
+        Rendered at ``/metrics``.
     ready : callable
-        Whether the balancer may send requests here.
+        Return whether the load balancer may send requests to this entry.
     version : callable
-        Version of the configuration, shown at ``/readyz``.
+        Return the configuration version, which ``/readyz`` reports.
     refusal : callable
-        Why a call that just came has no thread to wait with, or None.
+        Return the failure for a new request if all server threads are busy, or
+        None.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.draining = threading.Event()
 
     def __call__(self, environ: Environ, start_response: StartResponse) -> Body:
-        """Answer one request."""
+        """Handle one HTTP request."""
         request = new_request_id()
         return self._answer(environ, request).send(start_response)
 
--- a/src/persimmonhitch/entry/attempt.py
+++ b/src/persimmonhitch/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one sidecar, followed over lost links to its end."""
+"""One attempt at a sidecar, resumed over a new link if its link is lost."""
 
 import time
 from collections.abc import Generator, Iterator
@@ -12,11 +12,11 @@
 from .sidecar_conn import SidecarConn
 
 POLL_INTERVAL_S: Final = 0.1
-"""Seconds between two looks at whether the caller is still there."""
+"""Interval of the checks whether the caller is still connected."""
 VERDICT_GRACE_S: Final = 0.1
-"""Seconds past the deadline in which the sidecar's own verdict may still come."""
+"""Time after the deadline to wait for the sidecar's own verdict."""
 RESUME_TIMEOUT_S: Final = 4.0
-"""Seconds to wait for a new link to the same sidecar; it holds answers for 5."""
+"""Time to wait for a new link; the sidecar retains answers for 5 s."""
 
 _TIMED_OUT: Final = Failure(ErrorCode.DEADLINE, "the deadline passed", retry_after=1.0)
 _CALLER_DISCONNECTED: Final = Failure(ErrorCode.DEADLINE, "the caller has gone")
@@ -25,7 +25,7 @@
 
 
 class Attempt:
-    """Yields the frames of an attempt; the last is ``End`` or ``Fail``."""
+    """Sends one attempt and yields its frames; the last is ``End`` or ``Fail``."""
 
     def __init__(self, conn: SidecarConn, submit: Submit, req: AdmittedCall) -> None:
         self._conn = conn
@@ -34,7 +34,7 @@
         self._ended = False
 
     def frames(self) -> Generator[Frame, None, None]:
-        """Send the attempt and yield its answer."""
+        """Send the attempt and yield the frames of its answer."""
         exchange = self._conn.submit(self._submit)
         if exchange is None:
             yield self._fail(ErrorCode.NO_UPSTREAM, "no link", Verdict.NOT_RUN)
@@ -71,7 +71,8 @@
             return None
         verdict = self._conn.tombstone(self._submit.request, self._submit.incarnation)
         if reason is KEY_WITHDRAWN and verdict is not Verdict.NOT_RUN:
-            # It runs already; what was begun under a good key is finished.
+            # The request already runs. It was accepted under a valid key, so its
+            # answer is still delivered.
             return None
         self._conn.cancel(exchange)
         exc = Failure(reason.code, reason.message, verdict, reason.retry_after)
@@ -87,12 +88,13 @@
         return None
 
     def _resume(self, exchange: Exchange) -> bool:
-        """Ask the same life of the sidecar for the rest; False if it is gone.
+        """Request the rest of the answer from the same incarnation of the sidecar.
 
-        A repeatable request without an answer yet is better tried elsewhere at
-        once. For any other the sidecar alone knows whether it ran, so a new link
-        is worth waiting for: without it the caller would hear may_have_run for a
-        booking that was made, and ask a person to look.
+        Return False if that is not possible. A repeatable request without an answer
+        head is better retried at another sidecar at once. For any other request
+        only this sidecar knows whether the request ran, so the attempt waits for a
+        new link: otherwise the caller would receive may_have_run for a booking that
+        was made, and a person would have to check.
         """
         if self._submit.repeatable and not exchange.head_received:
             return False
--- a/src/persimmonhitch/entry/calls.py
+++ b/src/persimmonhitch/entry/calls.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, read from the HTTP request."""
+"""Parsing and validation of HTTP requests from callers."""
 
 import json
 import math
@@ -21,11 +21,14 @@
 PRIORITY_HEADER: Final = "x-request-priority"
 IDEMPOTENCY_HEADER: Final = "idempotency-key"
 MAX_IDEMPOTENCY_KEY: Final = 255
+# Largest max_tokens that a caller may request.
 MAX_TOKENS_LIMIT: Final = 32768
+# Headers of one connection, which a proxy must not forward.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te"}
     | {"trailer", "transfer-encoding", "upgrade", "host", "content-length", "expect"}
 )
+# Headers that the entry evaluates itself and does not forward.
 ENTRY_HEADERS: Final = frozenset(
     {"authorization", "cookie", "traceparent", "tracestate", "x-request-id"}
     | {TIMEOUT_HEADER, PRIORITY_HEADER}
@@ -34,9 +37,10 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One call of a caller, ready to be admitted.
+    """Parsed contents of one request, before admission.
 
-    ``model`` is empty for a service and ``service`` is None for a model.
+    A request for a service has an empty ``model``; a request for a model has None
+    as its ``service``.
     """
 
     model: Model
@@ -53,7 +57,7 @@
 
 
 def bearer_key(req: Request) -> str:
-    """Return the key of a request, or an empty text."""
+    """Return the API key of a request, or an empty string."""
     scheme, _, key = req.headers.get("authorization", "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
@@ -63,7 +67,7 @@
 
 
 def read_timeout(req: Request, default: float, limit: float) -> Result[float, Failure]:
-    """Return the seconds that the caller is willing to wait."""
+    """Return the timeout that the caller set, in seconds, or the default."""
     text = req.headers.get(TIMEOUT_HEADER)
     if text is None:
         return Success(default)
@@ -87,10 +91,10 @@
 
 
 def forwarded_headers(headers: dict[str, str], key: str) -> dict[str, str]:
-    """Return the headers that go on to the upstream.
+    """Return the headers to forward to the upstream.
 
-    A header that carries the key would show it to the upstream and to its logs,
-    where anyone who reads them could call in the account's name.
+    Headers that contain the API key are dropped: the key could end up in the
+    upstream's logs, and any reader of the logs could act as the account.
     """
     hop_names = headers.get("connection", "").lower().replace(" ", "").split(",")
     dropped = HOP_BY_HOP_HEADERS | ENTRY_HEADERS | frozenset(hop_names)
@@ -102,13 +106,13 @@
 
 
 def forwarded_query(query: str, key: str) -> str:
-    """Return the query without the parts that carry the key."""
+    """Return the query string without parameters that contain the API key."""
     parts = [part for part in query.split("&") if part]
     return "&".join(p for p in parts if not (key and key in unquote(p)))
 
 
 def read_call(req: Request, default: float, limit: float) -> Result[Call, Failure]:
-    """Return the call of a request, or what is wrong with it."""
+    """Parse a request; the failure names the first invalid part."""
     timeout = read_timeout(req, default, limit)
     if not isinstance(timeout, Success):
         return Err(timeout.failure())
@@ -131,6 +135,8 @@
 
 @dataclass(frozen=True)
 class _Common:
+    """Parts of a request that models and services have in common."""
+
     req: Request
     key: str
     timeout_s: float
@@ -189,8 +195,8 @@
     if error is not None:
         return _invalid(error)
     limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
-    # The limit goes to the engine in any case: an answer longer than what was
-    # reserved would take the account above its rate.
+    # Always send the limit to the engine: an answer longer than the reserved
+    # tokens would take the account above its rate.
     forwarded = {**body, "max_tokens": limit}
     return Success(
         Call(
--- a/src/persimmonhitch/entry/exchange.py
+++ b/src/persimmonhitch/entry/exchange.py
@@ -1,4 +1,4 @@
-"""The answer to one attempt as it comes in over a link."""
+"""Frames of the answer to one attempt, as received over a link."""
 
 import queue
 import threading
@@ -11,7 +11,10 @@
 
 MAX_UNREAD_BYTES: Final = 256 * 1024
 RESUME_UNREAD_BYTES: Final = 64 * 1024
-"""Bytes of one answer that wait for its caller: 60 streams take 15 MiB at most."""
+"""Unread bytes of an answer at which a paused sidecar may resume sending.
+
+With ``MAX_UNREAD_BYTES`` for each answer, 60 streams take at most 15 MiB.
+"""
 
 
 def _ignore_flow(_resume: bool) -> None:
@@ -20,7 +23,7 @@
 
 @dataclass(frozen=True)
 class LinkLost:
-    """The link ended before the answer did."""
+    """Marks the loss of the link before the end of the answer."""
 
 
 Incoming = Head | Chunk | End | Fail | LinkLost
@@ -28,12 +31,12 @@
 
 @dataclass
 class Exchange:
-    """Frames of one attempt, in order.
+    """Ordered queue of the frames of one attempt.
 
-    Answers of two requests, or of two attempts of one, may cross on a link. A
-    frame is taken only for its own request and attempt and in its own place;
-    anything else is dropped and counted, since passing it on would give a caller
-    part of another's answer.
+    A link interleaves the answers of several requests, or of several attempts of
+    one request. A frame is accepted only if its request, attempt and sequence
+    number match; any other frame is dropped and counted, since forwarding it would
+    give a caller part of another caller's answer.
     """
 
     request: RequestId
@@ -42,14 +45,14 @@
     head_received: bool = False
     dropped_frames: int = 0
     on_flow: Callable[[bool], None] = _ignore_flow
-    """Told False when the caller does not keep up, True when it does again."""
+    """Called with False to pause the sidecar's output, with True to resume it."""
     _unread_bytes: int = 0
     _paused: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
     _frames: "queue.SimpleQueue[Incoming]" = field(default_factory=queue.SimpleQueue)
 
     def put(self, frame: Head | Chunk | End | Fail) -> bool:
-        """Take a frame; return False when it is not this attempt's next one."""
+        """Append a frame; return False if it is not the next frame of this attempt."""
         if not self._is_next(frame):
             self.dropped_frames += 1
             return False
@@ -62,11 +65,11 @@
         return True
 
     def _add_unread(self, size: int) -> None:
-        """Keep unread bytes in bounds.
+        """Count unread bytes, and pause or resume the sidecar at the limits.
 
-        A caller that reads slowly would else have its whole answer stand in this
-        entry's memory; and if the link were left unread instead, it would hold up
-        every other answer on it.
+        Without this a slow caller's whole answer would accumulate in the entry's
+        memory. Leaving the link unread instead would block all other answers on
+        that link.
         """
         with self._lock:
             self._unread_bytes += size
@@ -88,7 +91,7 @@
         return True
 
     def on_link_lost(self) -> None:
-        """Note that the link ended."""
+        """Append ``LinkLost``."""
         self._frames.put(LinkLost())
 
     def get(self, timeout: float) -> Incoming | None:
--- a/src/persimmonhitch/entry/forward.py
+++ b/src/persimmonhitch/entry/forward.py
@@ -1,4 +1,4 @@
-"""From an admitted request to its reply: attempts, retries, whole or streamed."""
+"""Forwarding of admitted requests to sidecars, with retries."""
 
 import time
 from collections.abc import Callable, Generator, Iterator
@@ -21,14 +21,14 @@
 from .sidecar_conn import SidecarConn
 
 MAX_FULL_BYTES: Final = 8 * 1024 * 1024
-"""Bytes of an answer that is not a stream; it is held until it is whole."""
+"""Size limit of an answer that is buffered in memory instead of streamed."""
 RETRY_AFTER_S: Final = 2.0
 WAIT_STEP_S: Final = 0.1
 
 
 @dataclass(frozen=True)
 class FullReply:
-    """A whole answer."""
+    """A buffered answer; ``tokens`` is the usage to charge."""
 
     status: int
     headers: dict[str, str]
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class StreamingReply:
-    """An answer whose parts still come; the last frame is ``End`` or ``Fail``."""
+    """An answer in progress; the last frame is ``End`` or ``Fail``."""
 
     status: int
     headers: dict[str, str]
@@ -49,7 +49,7 @@
 
 
 class Forwarder:
-    """Sends requests to sidecars until one answers or none may be tried."""
+    """Sends a request to sidecars until one answers or no retry is allowed."""
 
     def __init__(
         self, router: Router, wait_for_change: Callable[[float], None], metrics: Metrics
@@ -60,7 +60,7 @@
         self._budget = RetryBudget()
 
     def run(self, req: AdmittedCall) -> Result[Reply, Failure]:
-        """Return the reply; its failure is final."""
+        """Return the reply, or the failure after the last permitted attempt."""
         self._budget.on_request(time.monotonic())
         tried: frozenset[Upstream] = frozenset()
         attempt = 0
@@ -68,8 +68,8 @@
         while True:
             attempt += 1
             target = self._target(req, tried)
-            # Read before the look at the key: the version that is sent must not
-            # be newer than the one under which the key was good.
+            # Read the version before checking the key: the version sent must not
+            # be newer than the version under which the key was valid.
             version = req.config_version()
             if req.key_withdrawn():
                 return Err(_with_prior_verdict(prior_verdict, KEY_WITHDRAWN))
@@ -135,7 +135,7 @@
     def _measure_gaps(
         self, upstream: Upstream, model: Model, frames: Generator[Frame, None, None]
     ) -> Generator[Frame, None, None]:
-        """Pass frames on and note the mean time between the parts of the body."""
+        """Yield the frames and record the mean time between chunks."""
         first_at, chunk_count = 0.0, 0
         with closing(frames):
             for frame in frames:
@@ -186,11 +186,11 @@
 
 
 def _with_prior_verdict(prior_verdict: Verdict, exc: Failure) -> Failure:
-    """Return a failure with the verdict of all attempts.
+    """Return a failure with the verdict over all attempts.
 
-    A repeatable request may have run at one upstream and be refused by the next.
-    What the caller is told holds for the request, not for its last attempt; a
-    ``not_run`` here would show as a call that the upstream counted all the same.
+    A repeatable request may run at one upstream and then be refused by the next.
+    The verdict describes the whole request rather than its last attempt:
+    ``not_run`` would be wrong for a request that an upstream executed.
     """
     if exc.verdict is Verdict.NOT_RUN and prior_verdict is not Verdict.NOT_RUN:
         return replace(exc, verdict=prior_verdict)
--- a/src/persimmonhitch/entry/gateway.py
+++ b/src/persimmonhitch/entry/gateway.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from its key to its answer."""
+"""Handling of a request: authentication, limits, forwarding and accounting."""
 
 import time
 from collections.abc import Callable
@@ -27,20 +27,20 @@
 
 
 class Limiter(Protocol):
-    """What the gateway needs of the rate limiter."""
+    """Interface of the rate limiter."""
 
     def reserve(
         self, account: Account, cost: Tokens, wait: float
     ) -> Result[Reservation, Failure]:
-        """Take tokens, waiting up to ``wait`` seconds for them."""
+        """Reserve tokens, waiting up to ``wait`` seconds."""
 
     def settle(self, reservation: Reservation, used: Tokens) -> None:
-        """Give back what was not used."""
+        """Return the unused part of a reservation."""
 
 
 @dataclass(frozen=True)
 class Timeouts:
-    """Timeouts of callers, in seconds."""
+    """Default and maximum request timeout, in seconds."""
 
     default_s: float
     max_s: float
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class _Context:
-    """A request under way: what its end has to settle."""
+    """State of a request in progress, for accounting when the request ends."""
 
     request: RequestId
     account: Account
@@ -59,7 +59,7 @@
 
 
 class Gateway:
-    """Answers calls of models and services."""
+    """Handles requests for models and services."""
 
     def __init__(
         self,
@@ -80,11 +80,11 @@
         self._traces = traces
 
     def account_of(self, req: Request) -> Result[Account, Failure]:
-        """Return the account whose key came with a request."""
+        """Return the account that owns the API key of a request."""
         return authenticate(self._catalog(), bearer_key(req))
 
     def models_of(self, account: Account) -> tuple[str, ...]:
-        """Return the names of the models that an account's plan may use."""
+        """Return the names of the models that an account's plan includes."""
         catalog = self._catalog()
         plan = catalog.plan_of(account)
         if plan is None:
@@ -92,7 +92,7 @@
         return tuple(sorted(n for n in catalog.models if plan.may_use_model(n)))
 
     def handle(self, req: Request, request: RequestId) -> Answer:
-        """Answer one call."""
+        """Handle one request for a model or a service."""
         start = time.monotonic()
         route = "chat" if req.path == CHAT_PATH else "service"
         self._metrics.request_started(route)
@@ -200,12 +200,12 @@
         used: Tokens | None,
         status: int = 200,
     ) -> None:
-        """Settle the reservation, once, and note the end."""
+        """Settle the reservation and record the end of the request."""
         reserved = ctx.reservation.tokens
         if exc is not None and exc.verdict is Verdict.NOT_RUN:
             used = Tokens(0.0)
-        # An answer cut short may have cost all that was reserved; giving back
-        # less than that could take the account above its rate.
+        # An interrupted answer may have cost all reserved tokens. Returning some
+        # of them could take the account above its rate.
         spent = Tokens(min(reserved, reserved if used is None else used))
         self._limiter.settle(ctx.reservation, spent)
         self._metrics.tokens_used(ctx.account, spent)
@@ -230,7 +230,7 @@
 
 
 class _ChunkTimer:
-    """Times the parts of one streamed answer."""
+    """Records the time to the first chunk and between chunks of a stream."""
 
     def __init__(self, metrics: Metrics, ctx: _Context) -> None:
         self._metrics = metrics
@@ -238,7 +238,7 @@
         self._last_at: float | None = None
 
     def on_chunk(self) -> None:
-        """Note that a part came."""
+        """Record the arrival of a chunk."""
         now = time.monotonic()
         if self._last_at is None:
             ctx = self._ctx
@@ -267,8 +267,8 @@
         allowed = plan.may_use_model(call.model)
         name = f"model {call.model}"
     if not allowed:
-        # The same words for what exists and what does not, or anybody could
-        # list the models of other accounts by trying names.
+        # Existing and unknown names get the same message; otherwise any caller
+        # could discover the models of other accounts by trying names.
         return Failure(ErrorCode.NOT_PERMITTED, f"the plan has no {name}")
     if not exists:
         return Failure(ErrorCode.NOT_FOUND, f"there is no {name}")
--- a/src/persimmonhitch/entry/idempotency.py
+++ b/src/persimmonhitch/entry/idempotency.py
@@ -1,10 +1,11 @@
-"""Calls with an ``Idempotency-Key``: at most one run, whichever entry hears them.
-
-A record in the store is created under the caller's key before anything is sent.
-Creation is conditional, so that of two entries, or of one before and after a
-crash, exactly one goes on. While the store is away such a call is refused as not
-run: the caller asked for the proof of a single run, and nobody can give it. Calls
-without the header go on, and their verdicts say what is known of them.
+"""At-most-once execution of requests with an ``Idempotency-Key``, across entries.
+
+Before sending the request to an upstream, the entry creates a record in the store
+under the caller's key. Creation is conditional: of two entries, or of two
+incarnations of one entry around a crash, exactly one creates the record and runs
+the request. While the store is unavailable, requests with the header are refused
+with ``not_run``, because a single run can't be guaranteed. Requests without the
+header still run, and their verdict tells whether they may have run.
 """
 
 import base64
@@ -27,14 +28,14 @@
 from .forward import FullReply
 
 MAX_STORED_BODY_BYTES: Final = 64 * 1024
-"""Bytes of an answer kept for a repeat; the store holds at most 1 MB a value."""
+"""Size limit of a stored answer; the store accepts values of at most 1 MB."""
 RETRY_AFTER_S: Final = 1.0
 STORE_RETRY_AFTER_S: Final = 5.0
 REPAIR_INTERVAL_S: Final = 0.5
 
 
 class RunState(Enum):
-    """What is known of a recorded call."""
+    """State of a recorded run, under the values stored in its record."""
 
     STARTED = "started"
     DONE = "done"
@@ -43,18 +44,18 @@
 
 @dataclass(frozen=True)
 class Permit:
-    """Leave to run a call; ``record`` is its object in the store."""
+    """Permission to run a request; ``record`` is its object in the store."""
 
     record: StoredObject
 
 
 def record_name(account: Account, key: str) -> str:
-    """Return the name of the record for an account's idempotency key."""
+    """Return the store name of the record of an account's idempotency key."""
     return hashlib.sha256(f"{account}\0{key}".encode()).hexdigest()
 
 
 def fingerprint(call: Call) -> str:
-    """Return a digest of what is asked, to see a key used for another call."""
+    """Return a digest of the request, to detect reuse of a key for another request."""
     digest = hashlib.sha256()
     for part in (call.method.encode(), call.path.encode(), call.body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -69,14 +70,14 @@
 
 
 class IdempotencyRecords:
-    """The records of one entry's calls.
+    """Creates and completes the run records of one entry.
 
     Parameters
     ----------
     store : ObjectStore
-        Where records are kept.
+        Store of the records.
     wall : callable
-        Wall clock in seconds, for the record's age.
+        Return the wall-clock time in seconds, for the record's age.
     """
 
     def __init__(
@@ -87,20 +88,20 @@
         self._pending_repairs: dict[str, tuple[RequestId, Spec]] = {}
         self._lock = threading.Lock()
         self._stopping = threading.Event()
-        self._thread = threading.Thread(target=self._run, name="tidy", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="repair", daemon=True)
 
     def start(self) -> None:
-        """Mend records that could not be written at first."""
+        """Start the thread that repairs records whose write failed."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread; what is not written stays as it is."""
+        """Stop the thread; pending repairs are abandoned."""
         self._stopping.set()
 
     def begin(
         self, account: Account, call: Call, request: RequestId
     ) -> Result[Permit | FullReply, Failure]:
-        """Return leave to run a call, or the answer that it got before."""
+        """Return a permit to run the request, or the stored answer of its first run."""
         name = record_name(account, call.idempotency_key)
         spec = {
             "request": request,
@@ -121,7 +122,7 @@
             return self._unavailable(name, spec, request)
         old = found.unwrap()
         if old.spec["request"] == request:
-            # The answer to the create was lost after it took effect.
+            # The create succeeded, but the store's answer was lost.
             return Success(Permit(old))
         if old.spec["fingerprint"] != spec["fingerprint"]:
             reason = "this Idempotency-Key was used for another call"
@@ -137,8 +138,9 @@
     def _unavailable(
         self, name: str, spec: Spec, request: RequestId
     ) -> Result[Permit | FullReply, Failure]:
-        # The create may have taken effect although its answer was lost. Left so,
-        # the record would call a request that never ran doubtful for ever.
+        # The create may have succeeded although the store's answer was lost. Without
+        # a repair the record would show a request that never ran as possibly run,
+        # for good.
         self._schedule_repair(name, request, {**spec, "state": RunState.NOT_RUN.value})
         reason = "the record that keeps this call from running twice is out of reach"
         return _refuse(
@@ -157,7 +159,7 @@
         return _refuse(ErrorCode.DUPLICATE, reason, Verdict.NOT_RUN, RETRY_AFTER_S)
 
     def finish(self, permit: Permit, result: Result[FullReply, Failure]) -> None:
-        """Record how a call ended."""
+        """Write the result of a run to its record."""
         old = permit.record
         spec = _final_spec(old.spec, result)
         if not isinstance(self._store.update(old, spec), Success):
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -1,4 +1,4 @@
-"""The process that callers reach, behind the balancer.
+"""HTTP front process behind the load balancer.
 
 Usage:
   persimmonhitch-entry --settings=FILE [--check]
@@ -45,7 +45,7 @@
 
 
 class Entry:
-    """All parts of the process."""
+    """The entry process with all its components."""
 
     def __init__(self, cfg: EntrySettings) -> None:
         self.cfg = cfg
@@ -111,8 +111,8 @@
         return connections_refusal(self.server.busy_conns(), self.cfg.threads)
 
     def _ready(self) -> bool:
-        # Without the sidecars every request would be refused here, while another
-        # entry would have answered it.
+        # Without the sidecar list this entry would refuse every request, while
+        # another entry could answer.
         listed = self.sidecars.ready.is_set() or self.fallback.ready.is_set()
         return listed and self.sync.feed.ready.is_set() and self.shares.ready()
 
@@ -127,7 +127,7 @@
         self.metrics.config_version(catalog.version)
 
     def hello(self) -> Hello:
-        """Return the first message of each link."""
+        """Return the handshake message, the first on each link."""
         return Hello(
             PROTOCOL,
             Role.ENTRY,
@@ -138,7 +138,7 @@
         )
 
     def start(self) -> None:
-        """Serve and register."""
+        """Start all components, then register this entry in the store."""
         for part in (self.sync, self.sidecars, self.vms, self.entries, self.pool):
             part.start()
         self.fallback.start()
@@ -164,11 +164,12 @@
         }
 
     def stop(self, life: Lifecycle) -> None:
-        """Leave without cutting a request.
+        """Shut down without interrupting requests.
 
-        Readiness goes first and the listener stays open for a while, since the
-        balancer sends new requests until it has seen the change; closing at once
-        would show to callers as refused connections.
+        The entry first reports that it is not ready and keeps the listener open for
+        ``stop_notice`` seconds, because the load balancer sends new requests until
+        it detects the change. Closing the listener at once would give callers
+        refused connections.
         """
         self.app.draining.set()
         self.server.disable_keep_alive()
--- a/src/persimmonhitch/entry/peer_sidecars.py
+++ b/src/persimmonhitch/entry/peer_sidecars.py
@@ -1,4 +1,4 @@
-"""The list of sidecars from a peer, for an entry that starts in an outage."""
+"""Sidecar list from a peer, for an entry that starts during a store outage."""
 
 import json
 import threading
@@ -20,23 +20,24 @@
 @message(54)
 @dataclass(frozen=True)
 class SidecarsPull:
-    """Ask for the sidecars that an entry knows."""
+    """Request the list of sidecars from a peer."""
 
 
 @message(55)
 @dataclass(frozen=True)
 class SidecarsPush:
-    """Names of sidecars and their objects as JSON."""
+    """Reply to ``SidecarsPull``: JSON specification of each sidecar by name."""
 
     specs: dict[str, str]
 
 
 class PeerSidecars:
-    """Asks peers for the sidecars until the store has listed them once.
+    """Requests the sidecar list from peers until the store has returned one.
 
-    Without it an entry that starts in an outage has its configuration from its
-    peers, yet reaches no upstream, so the fleet shrinks with every VM replaced.
-    While the store is down its list can't change, so a peer's is as good.
+    An entry that starts during a store outage gets its configuration from its
+    peers. Without their sidecar list it would reach no upstream, and the fleet
+    would shrink with every replaced VM. The store's list can't change while the
+    store is unavailable, so a peer's copy is equivalent.
     """
 
     def __init__(
@@ -55,14 +56,14 @@
         self.ready = threading.Event()
         mesh.on(SidecarsPull, self._on_pull)
         mesh.on(SidecarsPush, self._on_push)
-        self._thread = threading.Thread(target=self._run, name="borrow", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="sidecars", daemon=True)
 
     def start(self) -> None:
-        """Ask from now on."""
+        """Start the thread that polls peers."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Stop polling peers."""
         self._stopping.set()
 
     def _has_sidecars(self) -> bool:
--- a/src/persimmonhitch/entry/pool.py
+++ b/src/persimmonhitch/entry/pool.py
@@ -1,4 +1,4 @@
-"""Links to the sidecars in reach, kept open and opened again."""
+"""Pool of links to all sidecars, with reconnection."""
 
 import threading
 import time
@@ -13,14 +13,14 @@
 from .sidecar_info import SidecarInfo
 
 RECONNECT_DELAY_S: Final = 0.2
-"""Seconds between two tries to open a link that is lost."""
+"""Initial delay between connection attempts; it doubles up to the maximum."""
 MAX_RECONNECT_DELAY_S: Final = 2.0
 VM_LEAVING: Final = "leaving"
-"""State in the platform's list of a VM that is about to go."""
+"""State, in the platform's list, of a VM that is about to be removed."""
 
 
 class SidecarPool:
-    """All sidecars that this entry sends to."""
+    """Connections to all sidecars that the store lists."""
 
     def __init__(
         self, secret: bytes, hello: Callable[[], Hello], versions: VersionFeed
@@ -34,20 +34,20 @@
         self._next_attempt: dict[Upstream, tuple[float, float]] = {}
         self._changed = threading.Condition()
         self._stopping = threading.Event()
-        self._thread = threading.Thread(target=self._run, name="relink", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="reconnect", daemon=True)
 
     def start(self) -> None:
-        """Open links from now on."""
+        """Start the thread that opens links."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End every link."""
+        """Stop the thread and close every link."""
         self._stopping.set()
         for conn in self._all_conns():
             conn.close()
 
     def update(self, view: View) -> None:
-        """Take the store's list of sidecars."""
+        """Apply the store's list of sidecars."""
         infos = [SidecarInfo.from_object(obj) for obj in view.objects.values()]
         listed = {info.upstream: info for info in infos if info is not None}
         with self._changed:
@@ -59,10 +59,11 @@
             conn.close()
 
     def update_vms(self, view: View) -> None:
-        """Take the platform's list of VMs; those that leave get no new work.
+        """Apply the platform's list of VMs; leaving VMs get no new work.
 
-        The sidecar's own word comes first. One that is frozen or cut off when its
-        VM is told to leave says nothing, and would get work until it is gone.
+        A sidecar usually reports draining itself, and earlier. A sidecar that is
+        frozen or disconnected when the platform starts to remove its VM reports
+        nothing, and would get requests until the VM is removed.
         """
         names = view.objects.items()
         self._leaving_vms = frozenset(
@@ -79,12 +80,12 @@
         conn.info = info
 
     def serving(self, model: Model, service: Service | None) -> list[SidecarConn]:
-        """Return the sidecars that can take a request now."""
+        """Return the sidecars that can accept a request now."""
         conns = [conn for conn in self._all_conns() if _is_usable(conn, model, service)]
         return [conn for conn in conns if conn.info.vm not in self._leaving_vms]
 
     def is_listed(self, model: Model, service: Service | None) -> bool:
-        """Return whether a sidecar that may be out of reach has a copy."""
+        """Return whether a listed sidecar, reachable or not, offers a copy."""
         return any(_offers(conn, model, service) for conn in self._all_conns())
 
     def copies(self) -> dict[Model, tuple[Upstream, ...]]:
@@ -108,7 +109,7 @@
                 link.send(msg)
 
     def wait_for_change(self, timeout: float) -> None:
-        """Return when a sidecar may have come, or after ``timeout`` seconds."""
+        """Wait until a sidecar may have connected, at most ``timeout`` seconds."""
         with self._changed:
             self._changed.wait(timeout)
 
--- a/src/persimmonhitch/entry/router.py
+++ b/src/persimmonhitch/entry/router.py
@@ -1,4 +1,4 @@
-"""Choice of a sidecar for each attempt, by the decisions under load."""
+"""Choice of a sidecar for each attempt, by load, zone and health."""
 
 import random
 import threading
@@ -18,7 +18,7 @@
 
 
 class Router:
-    """Feeds the routing decision with what this entry sees."""
+    """Applies the routing policy to the load and latency that this entry observes."""
 
     def __init__(self, pool: SidecarPool, zone: Zone, rng: random.Random) -> None:
         self._pool = pool
@@ -37,7 +37,7 @@
         cost: float,
         tried: frozenset[Upstream],
     ) -> SidecarConn | None:
-        """Return the sidecar for an attempt, or None when there is none."""
+        """Return the sidecar for an attempt, or None if no sidecar is available."""
         conns = self._pool.serving(model, service)
         untried = [conn for conn in conns if conn.info.upstream not in tried]
         by_name = {conn.info.upstream: conn for conn in untried or conns}
@@ -67,9 +67,10 @@
     def refusal(
         self, model: Model, service: Service | None, deadline_at: float
     ) -> Failure | None:
-        """Return why a request should not wait for a first copy, or None.
+        """Return the failure of a request that can't wait for a first copy, or None.
 
-        A copy that is listed but out of reach needs only its link again.
+        A request always waits for a listed but unreachable copy, which only has to
+        be reconnected.
         """
         if self._pool.is_listed(model, service):
             return None
@@ -85,20 +86,20 @@
             self._outliers.update(now, self._pool.copies())
 
     def record_latency(self, upstream: Upstream, group: Model, seconds: float) -> None:
-        """Note a latency that does not depend on a request's length.
+        """Record a latency that does not depend on the length of the request.
 
-        For a model it is the mean time between tokens, for a service the time to
-        the head of its answer.
+        For a model this is the mean time between tokens, for a service the time to
+        the head of the answer.
         """
         with self._lock:
             self._outliers.on_latency(time.monotonic(), upstream, group, seconds)
 
     def record_failure(self, upstream: Upstream) -> None:
-        """Note an attempt that the upstream failed."""
+        """Record an attempt that failed at the upstream."""
         with self._lock:
             self._outliers.on_failure(upstream)
 
 
 def group_of(model: Model, service: Service | None) -> Model:
-    """Return the name under which upstreams of one sort are compared."""
+    """Return the name of the group whose upstreams are compared with each other."""
     return model if service is None else Model(f"service:{service}")
--- a/src/persimmonhitch/entry/settings.py
+++ b/src/persimmonhitch/entry/settings.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class EntrySettings:
-    """What the operator sets for one entry."""
+    """Settings of one entry, as the operator writes them."""
 
     vm: str = setting("vm", "name", "name of this VM in the platform's list")
     zone: str = setting("vm", "zone", "availability zone of this VM")
--- a/src/persimmonhitch/entry/sidecar_conn.py
+++ b/src/persimmonhitch/entry/sidecar_conn.py
@@ -1,4 +1,4 @@
-"""One sidecar as an entry sees it: its link, its load, what is in flight there."""
+"""Connection of an entry to one sidecar: link, load and attempts in flight."""
 
 import math
 import threading
@@ -33,22 +33,22 @@
 from .sidecar_info import SidecarInfo
 
 TOMBSTONE_TIMEOUT_S: Final = 0.5
-"""Seconds to wait for the answer to ``Tombstone``; it takes one round trip."""
+"""Time to wait for ``TombstoneReply``, which takes one round trip."""
 
 
 class VersionFeed(Protocol):
-    """What the configuration's source is asked for on reports."""
+    """Interface of the configuration feed."""
 
     @property
     def version(self) -> ConfigVersion:
-        """Return the newest version known here."""
+        """Return the newest configuration version of this entry."""
 
     def pull_if_newer(self, version: ConfigVersion) -> None:
-        """Say that a sidecar knows a version."""
+        """Report a version that a sidecar has announced."""
 
 
 class SidecarConn:
-    """The link to one sidecar and all attempts on it."""
+    """Link to one sidecar, with the attempts in flight on the link."""
 
     def __init__(self, info: SidecarInfo, secret: bytes, versions: VersionFeed) -> None:
         self.info = info
@@ -72,35 +72,35 @@
 
     @property
     def usable(self) -> bool:
-        """Return whether new work may go there."""
+        """Return whether the sidecar may receive new requests."""
         return self.welcomed.is_set() and not self._draining and not self.info.draining
 
     def connect(self, hello: Hello) -> bool:
-        """Open the link; return whether it is open."""
+        """Open the link; return whether that succeeded."""
         info = self.info
         result = open_link(info.host, info.port, self._secret, self, hello)
         if not isinstance(result, Success):
             return False
         link = result.unwrap()
         with self._lock:
-            # A link may end before it is entered here; its end would then have
-            # been told already, and a dead link would never be opened again.
+            # The link may already have ended, and on_close run. Storing the dead
+            # link then would prevent reconnection for good.
             if not link.ended.is_set():
                 self.link = link
         return True
 
     def close(self) -> None:
-        """End the link; the sidecar is no longer in reach."""
+        """Close the link for good; attempts no longer wait for a new link."""
         self.closed.set()
         if self.link is not None:
             self.link.close()
 
     def on_message(self, link: Link, msg: Any) -> None:
-        """Take one message of the sidecar."""
+        """Dispatch a message from the sidecar."""
         self.receive(msg)
 
     def on_close(self, link: Link) -> None:
-        """Tell every attempt that its link is gone."""
+        """Signal the loss of the link to every attempt."""
         with self._lock:
             self.welcomed.clear()
             self.link = None
@@ -110,7 +110,7 @@
 
     @singledispatchmethod
     def receive(self, msg: Any) -> None:
-        """Take a message by its kind; one that has no place here is logged."""
+        """Handle a message by its type; log a message of any other type."""
         log("message_unexpected", upstream=self.info.upstream, kind=type(msg).__name__)
 
     @receive.register
@@ -122,10 +122,10 @@
         self._sync_version(msg.version)
 
     def _sync_version(self, theirs: ConfigVersion) -> None:
-        """Tell the sidecar of a newer version, or learn from it of one.
+        """Announce a newer version to the sidecar, or pass its version to the feed.
 
-        An entry with no requests would otherwise keep the news from the sidecar,
-        which then could not refuse the requests of one that lags.
+        A sidecar refuses requests from entries with an outdated configuration, so it
+        must learn of a new version also from an entry that sends no requests.
         """
         ours = self._versions.version
         if theirs < ours and self.link is not None:
@@ -163,16 +163,16 @@
     def _update_models(self, models: tuple[Model, ...]) -> None:
         now = time.monotonic()
         self.models = frozenset(models)
-        # A copy that stays through a lost link keeps its age: its caches are warm,
-        # and taking it for new would send its callers to busier copies.
+        # A copy that is still served after a link loss keeps its age: its caches are
+        # warm, and treating it as new would send its requests to busier copies.
         self._first_seen = {model: self._first_seen.get(model, now) for model in models}
 
     def age_of(self, model: Model, now: float) -> float:
-        """Return for how long this entry has seen a model served here."""
+        """Return for how many seconds the sidecar has served a model."""
         return now - self._first_seen[model] if model in self._first_seen else math.inf
 
     def submit(self, msg: Submit) -> Exchange | None:
-        """Send an attempt; None when the link is gone and nothing was sent."""
+        """Send an attempt; return None if there is no link and nothing was sent."""
         exchange = Exchange(msg.request, msg.attempt)
         exchange.on_flow = lambda resume: self._send_flow(exchange, resume)
         with self._lock:
@@ -186,7 +186,7 @@
         return exchange
 
     def resume(self, exchange: Exchange, incarnation: Incarnation) -> bool:
-        """Ask for the rest of an answer over the present link."""
+        """Request the rest of an answer over the current link."""
         msg = Resume(
             exchange.request,
             exchange.attempt,
@@ -201,12 +201,12 @@
             self.link.send(FlowControl(exchange.request, exchange.attempt, resume))
 
     def cancel(self, exchange: Exchange) -> None:
-        """Say that nobody waits for the attempt any more."""
+        """Cancel the attempt at the sidecar."""
         if self.link is not None:
             self.link.send(Cancel(exchange.request, exchange.attempt))
 
     def tombstone(self, request: RequestId, incarnation: Incarnation) -> Verdict:
-        """Ask that a request never run from now on; return what is true of it."""
+        """Block any future run of a request at the sidecar; return its verdict."""
         waiter = threading.Event()
         with self._lock:
             self._tombstones[request] = waiter
@@ -218,7 +218,7 @@
             return self._tombstone_verdicts.pop(request, Verdict.MAY_HAVE_RUN)
 
     def forget(self, request: RequestId) -> None:
-        """Take no more frames for a request."""
+        """Drop the exchange of a request; later frames are counted as dropped."""
         with self._lock:
             pending = self._exchanges.pop(request, None)
             if pending is not None:
--- a/src/persimmonhitch/entry/sidecar_info.py
+++ b/src/persimmonhitch/entry/sidecar_info.py
@@ -1,4 +1,4 @@
-"""Sidecars as the store lists them."""
+"""Registration records of sidecars in the store."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class SidecarInfo:
-    """Where one sidecar is and what it serves."""
+    """Address, location and served models of a sidecar."""
 
     upstream: Upstream
     vm: Vm
@@ -26,9 +26,9 @@
 
     @classmethod
     def from_object(cls, obj: StoredObject) -> "SidecarInfo | None":
-        """Return the sidecar of a stored object, or None for a broken one.
+        """Parse a stored object; log an invalid object and return None.
 
-        One broken object must not hide the others; it shows in the logs.
+        One invalid object must not hide the other sidecars.
         """
         spec = obj.spec
         try:
--- a/src/persimmonhitch/entry/stream.py
+++ b/src/persimmonhitch/entry/stream.py
@@ -17,11 +17,11 @@
 
 
 class StreamBody:
-    """Passes chunks on and tells its end once.
+    """Yields the chunks of a stream and calls ``on_end`` exactly once.
 
-    The server calls ``close`` in every case, also when the caller left before the
-    first part was taken. A bare generator that never ran would skip its cleanup
-    then, and the caller's tokens would stay reserved for good.
+    The server always calls ``close``, even if the caller disconnected before the
+    first chunk was read. A plain generator that was never started would skip its
+    cleanup then, and the caller's tokens would stay reserved for good.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
             elif isinstance(frame, End):
                 self._end(None, frame.tokens)
             elif isinstance(frame, Fail):
-                # A stream that just stopped would pass for a whole answer.
+                # A stream that ends without an error event looks complete.
                 exc = frame.failure()
                 self._end(exc, None)
                 yield failure_event(exc, self._request)
 
     def close(self) -> None:
-        """Cancel what has not come yet."""
+        """Cancel the rest of the stream."""
         self._frames.close()
         self._end(CALLER_DISCONNECTED, None)
 
--- a/tests/test_forward_verdict.py
+++ b/tests/test_forward_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict of a request with several attempts."""
+"""Verdict of a request over several attempts."""
 
 from types import SimpleNamespace
 
@@ -25,8 +25,9 @@
     ],
 )
 def test_not_run_holds_for_all_attempts(monkeypatch, attempts, verdict):
-    """An upstream is lost while it processes a repeatable request, and the next one
-    refuses the request. The verdict was not_run, though the first had executed it.
+    """An upstream is lost while it processes a repeatable request, and the next
+    upstream refuses the request. The verdict of the request was not_run, although
+    the first upstream had executed the request.
     """
     remaining = list(attempts)
     conns = [SimpleNamespace(info=SimpleNamespace(upstream=str(n))) for n in range(9)]
--- a/tests/test_leaving_golden.py
+++ b/tests/test_leaving_golden.py
@@ -1,4 +1,4 @@
-"""Entries and sidecars that leave while requests run."""
+"""Shutdown of entries and sidecars while requests are in progress."""
 
 import signal
 import threading
@@ -11,7 +11,7 @@
 from persimmonhitch.store.objects import Kind
 
 LONG = 150
-"""Tokens of a stream that lasts about a second."""
+"""Number of tokens of a stream that lasts about one second."""
 
 
 @pytest.fixture(scope="module")
@@ -27,7 +27,7 @@
 
 
 def start_stream(fleet, entry, count=LONG):
-    """Start a stream on a thread; return a call that waits for its reply."""
+    """Start a stream on a thread; return a function that waits for its reply."""
     replies = []
 
     def run():
@@ -53,9 +53,9 @@
 
 
 def test_leaving_session(fleet):
-    """VMs are replaced at any time while callers read streams. An upstream leaves:
-    its streams end whole and it gets nothing new. An entry leaves: the balancer
-    sees it first, its streams end whole, and it exits with 0.
+    """VMs are replaced while callers read streams. A sidecar that shuts down must
+    complete its streams and receive no new requests. An entry that shuts down must
+    first report that it is not ready, then complete its streams and exit with 0.
     """
     session = Session("leaving")
     streams = [start_stream(fleet, "entry-1") for _ in range(6)]
@@ -81,9 +81,9 @@
 
 
 def test_a_frozen_upstream_whose_vm_leaves_gets_no_new_work(tmp_path):
-    """A VM is told to leave while the sidecar on it hears nothing. The platform's
-    list says so, and callers must not be sent there: their requests would hang
-    until the VM is gone.
+    """The platform marks a VM as leaving while its sidecar is frozen and can't report
+    draining. The entry must use the platform's list and send no requests to that
+    sidecar, where they would hang until the VM is removed.
     """
     with Fleet(tmp_path) as fleet:
         start_fleet(fleet)
@@ -101,9 +101,9 @@
 
 
 def test_second_signal_ends_at_once(tmp_path):
-    """An operator cannot wait for a long stream and sends a second signal. The
-    process ends, says how many requests it cut, and the caller's stream ends
-    without its last event, so that it doesn't pass for whole.
+    """An operator sends a second signal instead of waiting for a long stream. The
+    process must exit and log the number of aborted requests, and the caller's
+    stream must lack its last event, so that it does not look complete.
     """
     with Fleet(tmp_path) as fleet:
         start_fleet(fleet)
@@ -133,9 +133,9 @@
 
 
 def test_signal_after_freeze_is_handled(tmp_path):
-    """A VM is paused by its host and told to leave the moment it goes on. A process
-    that missed the signal would run on until the platform kills it, and cut every
-    request it has.
+    """A VM is paused by its host and receives SIGTERM as soon as it resumes. A process
+    that missed the signal would run until the platform kills it, and would abort
+    all its requests.
     """
     with Fleet(tmp_path) as fleet:
         process = fleet.standin("service-1", "service")
--- a/tests/test_once_golden.py
+++ b/tests/test_once_golden.py
@@ -1,4 +1,4 @@
-"""Bookings that may not be repeated, through real processes under failure."""
+"""At-most-once bookings through real processes under failures."""
 
 import signal
 import threading
@@ -23,7 +23,7 @@
 
 
 def start_booking(fleet, entry, token=None):
-    """Start a booking on a thread; return a call that waits for its reply."""
+    """Start a booking on a thread; return a function that waits for its reply."""
     replies = []
     thread = threading.Thread(
         target=lambda: replies.append(book(fleet, entry, token, body=b"slot 7"))
@@ -40,9 +40,9 @@
 
 
 def test_booking_session(fleet):
-    """A skipper's booking meets a dead sidecar, a repeat by the caller through the
-    other entry, and a store that is away. Were any of it sent again without proof,
-    two barges would be booked and a farmer billed twice.
+    """Repeated bookings with an Idempotency-Key run at most once: through another
+    entry, while the store is unavailable, after a lost store answer and after the
+    sidecar was killed. A second run would book and bill twice.
     """
     session = Session("booking")
     first = book(fleet, "entry-1", "voyage-1", body=b"slot 7")
@@ -62,7 +62,7 @@
     fleet.set_faults()
     wait_for(
         lambda: book(fleet, "entry-2", "voyage-2").status == 200,
-        "the refused booking to be taken once the store is back",
+        "the refused booking to be accepted after the store recovers",
     )
     session.add("store back, with the same key: 200")
     session.add("runs", fleet.runs("service-1"))
@@ -84,8 +84,9 @@
 
 
 def test_entry_killed_while_a_booking_runs(fleet):
-    """The entry dies while the ledger books. The caller sees its connection break
-    and asks again through the other entry, which must not book a second time.
+    """An entry is killed while the service runs a booking. The caller's connection
+    breaks and it repeats the request through the other entry, which must not run
+    the booking a second time.
     """
     session = Session("booking_entry_killed")
     fleet.wait_shared("fretes", 2)
