--- a/src/persimmonhitch/catalog/exchange.py
+++ b/src/persimmonhitch/catalog/exchange.py
@@ -171,6 +171,6 @@
 
     def _confirm(self, nonce: int, confirmed: bool) -> None:
         with self._lock:
-            asked_at = self._pulls.pop(nonce, None)
-        if asked_at is not None and confirmed:
-            self._feed.confirm(asked_at)
+            sent_at = self._pulls.pop(nonce, None)
+        if sent_at is not None and confirmed:
+            self._feed.confirm(sent_at)
--- a/src/persimmonhitch/catalog/feed.py
+++ b/src/persimmonhitch/catalog/feed.py
@@ -63,9 +63,9 @@
             time.sleep(GATE_POLL_INTERVAL_S)
         return self._catalog
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm(self, sent_at: float) -> None:
         """Record that a source answered a query sent at ``asked_at``."""
-        self.gate.confirm(asked_at)
+        self.gate.confirm(sent_at)
         if self.version and self.gate.confirmed(self._clock()):
             self.ready.set()
 
--- a/src/persimmonhitch/catalog/gate.py
+++ b/src/persimmonhitch/catalog/gate.py
@@ -42,10 +42,10 @@
             self._resumed_at = now
         self._last_active = max(self._last_active, now)
 
-    def confirm(self, asked_at: float) -> None:
+    def confirm(self, sent_at: float) -> None:
         """Record that a confirmed source answered a query sent at ``asked_at``."""
         with self._lock:
-            self._confirmed_at = max(self._confirmed_at, asked_at)
+            self._confirmed_at = max(self._confirmed_at, sent_at)
 
     def confirmed(self, now: float) -> bool:
         """Return whether a source has answered a query sent after the last freeze."""
--- a/src/persimmonhitch/catalog/lists.py
+++ b/src/persimmonhitch/catalog/lists.py
@@ -258,8 +258,8 @@
 
 
 def _mistake(ref: DanglingRef, accounts: _ListFile, plans: _ListFile) -> Mistake:
-    file = accounts if ref.ref.kind is EntryKind.ACCOUNT else plans
-    return Mistake(file.name, str(ref.ref), ref.key, ref.expected)
+    file = accounts if ref.entry.kind is EntryKind.ACCOUNT else plans
+    return Mistake(file.name, str(ref.entry), ref.key, ref.expected)
 
 
 def parse_lists(
--- a/src/persimmonhitch/catalog/log.py
+++ b/src/persimmonhitch/catalog/log.py
@@ -244,9 +244,9 @@
             if isinstance(result, Success):
                 return _Outcome.OURS
             if result.failure().error is StoreError.EXISTS:
-                owner = self._change_id(change.number)
-                if owner is not None:
-                    return _Outcome.OURS if owner == change.id else _Outcome.OTHERS
+                stored_id = self._change_id(change.number)
+                if stored_id is not None:
+                    return _Outcome.OURS if stored_id == change.id else _Outcome.OTHERS
         return _Outcome.UNANSWERED
 
     def _change_id(self, number: int) -> ChangeId | None:
@@ -254,10 +254,10 @@
         for attempt in range(MAX_ATTEMPTS):
             if attempt:
                 self._sleep(RETRY_PAUSE_S)
-            found = self._store.get(Kind.CHANGE, change_name(number))
-            if isinstance(found, Success):
-                return ChangeId(str(found.unwrap().spec.get("id")))
-            if found.failure().error is StoreError.NOT_FOUND:
+            stored = self._store.get(Kind.CHANGE, change_name(number))
+            if isinstance(stored, Success):
+                return ChangeId(str(stored.unwrap().spec.get("id")))
+            if stored.failure().error is StoreError.NOT_FOUND:
                 return NO_CHANGE
         return None
 
@@ -284,9 +284,9 @@
             return _Outcome.UNANSWERED
         if predecessor_id == expected_id:
             return _Outcome.OURS
-        found = self._store.get(Kind.CHANGE, change_name(change.number))
-        if isinstance(found, Success) and found.unwrap().spec.get("id") == change.id:
-            self._store.delete(found.unwrap())
+        stored = self._store.get(Kind.CHANGE, change_name(change.number))
+        if isinstance(stored, Success) and stored.unwrap().spec.get("id") == change.id:
+            self._store.delete(stored.unwrap())
         return _Outcome.OTHERS
 
 
--- a/src/persimmonhitch/catalog/references.py
+++ b/src/persimmonhitch/catalog/references.py
@@ -12,12 +12,12 @@
 class DanglingRef:
     """Entry whose ``key`` refers to a missing or unsuitable entry."""
 
-    ref: Ref
+    entry: Ref
     key: str
     expected: str
 
     def __str__(self) -> str:
-        return f"{self.ref}: {self.key}: {self.expected}"
+        return f"{self.entry}: {self.key}: {self.expected}"
 
 
 def _check_accounts(catalog: Catalog) -> Iterator[DanglingRef]:
@@ -34,8 +34,8 @@
             if model not in catalog.models and not matching(catalog.models, model):
                 yield DanglingRef(ref, "models", f"no model matches {model!r}")
         for service in entry.services:
-            found = service in catalog.services
-            if not found and not matching(catalog.services, service):
+            exists = service in catalog.services
+            if not exists and not matching(catalog.services, service):
                 yield DanglingRef(ref, "services", f"no service matches {service!r}")
 
 
--- a/src/persimmonhitch/catalog/store_source.py
+++ b/src/persimmonhitch/catalog/store_source.py
@@ -103,7 +103,7 @@
 
     def load(self) -> Version | None:
         """Apply all new changes; return where a watch starts, None on failure."""
-        asked_at = self._clock()
+        sent_at = self._clock()
         result = read_tail(self._store, self._feed.version)
         if not isinstance(result, Success):
             self._on_failure(result.failure())
@@ -112,12 +112,12 @@
         if tail.snapshot is not None:
             self._feed.apply_snapshot(tail.snapshot)
         self._apply(tail.changes)
-        self._confirm(asked_at)
+        self._confirm(sent_at)
         return tail.list_version
 
     def watch_once(self, after: Version) -> Version | None:
         """Watch once; return where the next watch starts, None on failure."""
-        asked_at = self._clock()
+        sent_at = self._clock()
         outcome = self._store.watch(Kind.CHANGE, after, WATCH_TIMEOUT_S)
         if not isinstance(outcome, Success):
             self._on_failure(outcome.failure())
@@ -126,7 +126,7 @@
         for event in changes.events:
             if event.type is EventType.ADDED and not self._apply_added(event.object):
                 return None
-        self._confirm(asked_at)
+        self._confirm(sent_at)
         return changes.version
 
     def _apply_added(self, obj: StoredObject) -> bool:
@@ -147,9 +147,9 @@
         if applied:
             self._on_changes(applied)
 
-    def _confirm(self, asked_at: float) -> None:
+    def _confirm(self, sent_at: float) -> None:
         self._on_available(True)
-        self._feed.confirm(asked_at)
+        self._feed.confirm(sent_at)
         self._compact()
 
     def _on_failure(self, failure: StoreFailure) -> None:
