--- a/src/persimmonhitch/entry/peers.py
+++ b/src/persimmonhitch/entry/peers.py
@@ -18,7 +18,7 @@
 from ..wire.messages import PROTOCOL, Hello, Role
 
 M = TypeVar("M")
-RELINK_INTERVAL_S: Final = 0.3
+LINK_CHECK_INTERVAL_S: Final = 0.3
 MAX_OPENS: Final = 4
 """Links opened concurrently; a link to a VM that is down takes seconds to fail."""
 UNUSED_LINK_TTL_S: Final = 5.0
@@ -88,7 +88,7 @@
         self.vm = vm
         self._seeds = seeds
         self._wanted = wanted
-        self._wanted_at: dict[Vm, float] = {}
+        self._last_wanted_at: dict[Vm, float] = {}
         self._opening: set[Vm] = set()
         self._openers = ThreadPoolExecutor(MAX_OPENS, thread_name_prefix="peer-links")
         self._seed_links: dict[Address, Link] = {}
@@ -138,9 +138,9 @@
     def update_entries(self, view: View) -> None:
         """Apply the list of entries from the store."""
         infos = [PeerInfo.from_object(obj) for obj in view.objects.values()]
-        by_vm = {info.vm: info for info in infos if info and info.vm != self.vm}
+        infos_by_vm = {info.vm: info for info in infos if info and info.vm != self.vm}
         with self._lock:
-            self._infos = by_vm
+            self._infos = infos_by_vm
 
     def peers(self) -> tuple[PeerInfo, ...]:
         """Return the entries that can be reached by an open link."""
@@ -166,19 +166,19 @@
         return link is not None and link.send_frame(frame)
 
     def _run(self) -> None:
-        while not self._stopping.wait(RELINK_INTERVAL_S):
+        while not self._stopping.wait(LINK_CHECK_INTERVAL_S):
             with self._lock:
                 infos = dict(self._infos)
                 links = dict(self._links)
             wanted = infos.keys() if self._wanted is None else self._wanted()
             now = time.monotonic()
-            self._wanted_at.update(dict.fromkeys(wanted, now))
+            self._last_wanted_at.update(dict.fromkeys(wanted, now))
             for vm in wanted:
                 if vm in infos and vm not in links and vm not in self._opening:
                     self._opening.add(vm)
                     self._openers.submit(self._open, infos[vm])
             for vm, link in links.items():
-                unused = now - self._wanted_at.get(vm, now) > UNUSED_LINK_TTL_S
+                unused = now - self._last_wanted_at.get(vm, now) > UNUSED_LINK_TTL_S
                 if vm not in infos or unused:
                     link.close()
             self._update_seed_links(bool(infos))
--- a/src/persimmonhitch/planner/lease.py
+++ b/src/persimmonhitch/planner/lease.py
@@ -126,7 +126,7 @@
         self._sent: tuple[int, int, float] | None = None
         self._caretaker: Epoch | None = None
         self._store_unavailable = False
-        self._stepped_at = 0.0
+        self._last_step_at = 0.0
         self._peer_release: tuple[str, int] | None = None
         self._restored_at: float | None = None
         """When this process learned that the store was restored from an older copy."""
@@ -212,7 +212,7 @@
     def caretaker_epoch(self) -> Epoch | None:
         """Return the last epoch if the lease expired only because the store failed."""
         with self._lock:
-            if self._clock() - self._stepped_at > self._duration:
+            if self._clock() - self._last_step_at > self._duration:
                 return None
             return self._caretaker
 
@@ -237,8 +237,8 @@
     def step(self) -> None:
         """Renew the lease or try to acquire it; call every ``step_interval_s``."""
         now = self._clock()
-        paused = now - self._stepped_at > self._duration
-        self._stepped_at = now
+        paused = now - self._last_step_at > self._duration
+        self._last_step_at = now
         if paused:
             self._caretaker = None
         epoch = self.epoch()
@@ -267,8 +267,8 @@
         log("lease_lapsed", epoch=epoch, caretaker=self._caretaker is not None)
 
     def _renew(self, held: StoredObject) -> None:
-        old = LeaseSpec.from_object(held)
-        self._write(held, old.epoch, old.renewals + 1)
+        spec = LeaseSpec.from_object(held)
+        self._write(held, spec.epoch, spec.renewals + 1)
 
     def _try_acquire(self) -> None:
         result = self._store.get(Kind.LEASE, self._name)
@@ -320,7 +320,7 @@
 
     def _write(self, old: StoredObject | None, epoch: int, renewals: int) -> None:
         sent_at = self._clock()
-        lease = LeaseSpec(
+        spec = LeaseSpec(
             self._vm, self._incarnation, epoch, renewals, self._duration
         ).to_spec()
         # If this write repeats one without an answer, the first may have taken effect,
@@ -329,9 +329,9 @@
         if not repeated:
             self._sent = (epoch, renewals, sent_at)
         if old is None:
-            result = self._store.create(Kind.LEASE, self._name, lease)
+            result = self._store.create(Kind.LEASE, self._name, spec)
         else:
-            result = self._store.update(old, lease)
+            result = self._store.update(old, spec)
         if isinstance(result, Success):
             self._store_unavailable = False
             self._set_held(result.unwrap(), sent_at)
@@ -357,8 +357,8 @@
         if not isinstance(result, Success):
             return
         obj = result.unwrap()
-        own = self._adopt_unanswered_write(obj, LeaseSpec.from_object(obj))
-        if not own and obj.version != (self._held and self._held.version):
+        adopted = self._adopt_unanswered_write(obj, LeaseSpec.from_object(obj))
+        if not adopted and obj.version != (self._held and self._held.version):
             self._held = None
 
     def _adopt_unanswered_write(self, obj: StoredObject, spec: LeaseSpec) -> bool:
--- a/src/persimmonhitch/planner/main.py
+++ b/src/persimmonhitch/planner/main.py
@@ -30,7 +30,7 @@
 from ..wire.messages import PROTOCOL, Hello, Role, UpstreamKind
 from .lease import RENEWALS_PER_LEASE, LeaseKeeper
 from .links import Dialer
-from .planning import CatalogRead, PlanningActor, PlanningLimits, SidecarsListed, Tick
+from .planning import CatalogRead, PlanningActor, PlanningConfig, SidecarsListed, Tick
 from .round import RoundPlanner
 from .settings import PlannerSettings
 
@@ -52,7 +52,7 @@
         self._actor: pykka.ActorRef[Any] = PlanningActor.start(
             self._lease,
             RoundPlanner(cfg.upstream_tokens, pacer),
-            PlanningLimits(cfg.settle),
+            PlanningConfig(cfg.settle),
             self._incarnation,
             time.monotonic,
         )
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class PlanningLimits:
+class PlanningConfig:
     """Settings of the actor.
 
     ``settle_s`` is the time that a new leader waits for missing inventories.
@@ -61,14 +61,14 @@
         self,
         lease: LeaseKeeper,
         planner: RoundPlanner,
-        limits: PlanningLimits,
+        config: PlanningConfig,
         incarnation: Incarnation,
         clock: Callable[[], float],
     ) -> None:
         super().__init__()
         self._lease = lease
         self._planner = planner
-        self._limits = limits
+        self._config = config
         self._incarnation = incarnation
         self._clock = clock
         self._dialer: Dialer | None = None
@@ -154,9 +154,9 @@
             return
         target = (order.move.model, upstream)
         if not msg.error:
-            self._planner.retry.record_success(target)
+            self._planner.backoff.record_success(target)
         elif msg.error not in TRANSIENT_ERRORS:
-            self._planner.retry.record_failure(target, self._clock())
+            self._planner.backoff.record_failure(target, self._clock())
         log(
             "order_ended", order=msg.order_id, upstream=upstream, error=msg.error or "-"
         )
@@ -167,8 +167,8 @@
     def _may_send(self, move: Move, epoch: Epoch) -> bool:
         if self._lease.epoch() == epoch:
             return True
-        rescue = move.is_load and move.reason is Reason.UNREACHABLE
-        return rescue and self._lease.caretaker_epoch() == epoch
+        is_rescue = move.is_load and move.reason is Reason.UNREACHABLE
+        return is_rescue and self._lease.caretaker_epoch() == epoch
 
     def _change_epoch(self, epoch: Epoch | None) -> None:
         log("epoch_changed", old=self._epoch, new=epoch)
@@ -199,7 +199,7 @@
 
     def _plan(self, epoch: Epoch) -> None:
         now = self._clock()
-        settled = now - self._epoch_since >= self._limits.settle_s
+        settled = now - self._epoch_since >= self._config.settle_s
         if self._catalog.version == 0 or not self._fleet.members:
             return
         if not (settled or self._fleet.all_reported(epoch)):
--- a/src/persimmonhitch/planner/round.py
+++ b/src/persimmonhitch/planner/round.py
@@ -25,7 +25,7 @@
 
     upstream_tokens: float
     pacer: LoadPacer
-    retry: RetryBackoff = field(default_factory=RetryBackoff)
+    backoff: RetryBackoff = field(default_factory=RetryBackoff)
 
     def __post_init__(self) -> None:
         self.counts = CopyCounts(self.upstream_tokens)
@@ -62,7 +62,7 @@
         """Return the moves to order now, except where an order is pending."""
         planned = make_plan(needs, targets, self.upstream_tokens)
         self._log_unplaced(planned.unplaced)
-        blocked = self.retry.blocked_targets(now) | pending
+        blocked = self.backoff.blocked_targets(now) | pending
         chosen = [
             move
             for move in (*planned.moves, *_repeated_loads(needs, targets))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -14,7 +14,7 @@
     CatalogRead,
     LinkOpened,
     PlanningActor,
-    PlanningLimits,
+    PlanningConfig,
     SidecarMessage,
     SidecarsListed,
     Tick,
@@ -25,7 +25,7 @@
 from persimmonhitch.wire.messages import Order, OrderDone, UpstreamKind
 from persimmonhitch.wire.placement import Copy, CopyState, CopyStatus, Inventory
 
-DURATION = 10.0
+LEASE_S = 10.0
 
 
 class Clock:
@@ -47,7 +47,7 @@
 
 
 def new_keeper(store, clock, name):
-    return LeaseKeeper(store, "planner", name, f"life-{name}", DURATION, clock)
+    return LeaseKeeper(store, "planner", name, f"life-{name}", LEASE_S, clock)
 
 
 def advance(clock, seconds, *keepers):
@@ -113,7 +113,7 @@
     assert a.epoch() == 1
 
 
-def test_no_lease_is_taken_while_the_store_is_down(store, clock):
+def test_no_lease_is_acquired_while_the_store_is_down(store, clock):
     """While the store is unavailable, nobody can read who holds the lease."""
     a = new_keeper(store, clock, "a")
     a.step()
@@ -231,11 +231,11 @@
     return Catalog(1, models={MODEL: ModelEntry(MODEL, 8.0, "1", None, 2.0)})
 
 
-def start_planning(store, clock, settle=5.0):
+def start_planning(store, clock, settle_s=5.0):
     lease = new_keeper(store, clock, "a")
     lease.step()
-    rounds = RoundPlanner(400.0, LoadPacer(10.0, 10, 10))
-    actor = PlanningActor(lease, rounds, PlanningLimits(settle), "life", clock)
+    planner = RoundPlanner(400.0, LoadPacer(10.0, 10, 10))
+    actor = PlanningActor(lease, planner, PlanningConfig(settle_s), "life", clock)
     for msg in (CatalogRead(catalog()), SidecarsListed({UP: sidecar_info(UP)}), Tick()):
         actor.handle(msg)
     link = FakeLink()
@@ -247,7 +247,7 @@
     return [(msg.action, msg.model) for msg in link.sent if isinstance(msg, Order)]
 
 
-def test_planning_fences_then_loads_what_nobody_serves(store, clock):
+def test_planning_fences_then_loads_unserved_models(store, clock):
     _lease, actor, link = start_planning(store, clock)
     actor.handle(Tick())
     assert sent_orders(link) == [("fence", "")]
@@ -266,8 +266,8 @@
     lease, actor, link = start_planning(store, clock)
     store.faults.down = True
     advance(clock, 30, lease)
-    busy = Copy(Model("gone"), None, "1")
-    actor.handle(SidecarMessage(UP, inventory(copies=[(busy, CopyState.LOADED, 0.0)])))
+    other = Copy(Model("gone"), None, "1")
+    actor.handle(SidecarMessage(UP, inventory(copies=[(other, CopyState.LOADED, 0.0)])))
     actor.handle(Tick())
     assert sent_orders(link)[1:] == [("load", MODEL)]
     lease.observe_epoch(Epoch(2))
@@ -282,10 +282,10 @@
     stay unavailable.
     """
     _lease, actor, _link = start_planning(store, clock)
-    dead = FakeLink()
-    dead.close()
+    closed = FakeLink()
+    closed.close()
     actor.handle(SidecarsListed({UP: sidecar_info(UP), OTHER: sidecar_info(OTHER)}))
-    actor.handle(LinkOpened(OTHER, dead))
+    actor.handle(LinkOpened(OTHER, closed))
     assert actor._fleet.members[OTHER].link is None
 
 
--- a/tests/test_planner_golden.py
+++ b/tests/test_planner_golden.py
@@ -33,7 +33,7 @@
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.violated = False
+        self.exceeded = False
         self.models = dict.fromkeys(["m-a", "m-b", "m-c"], "r1")
         fleet.standin("store", "store")
         for name in ("engine-1", "engine-2"):
@@ -52,17 +52,17 @@
         for name in names or ("e1", "e2"):
             self.fleet.sidecar(name, f"engine-{name[1]}", "engine", memory=ORDERS)
 
-    def add(self, name, revision="r1"):
+    def add_model(self, name, revision="r1"):
         self.models[name] = revision
         self.fleet.apply_lists(ACCOUNTS, plans(self.models))
 
     def log(self, name):
         return self.fleet.processes[name].log.read_text()
 
-    def engine(self, name, path):
+    def get_engine(self, name, path):
         return self.fleet.http.request("GET", self.fleet.urls[name] + path).json()
 
-    def faults(self, **faults):
+    def set_faults(self, **faults):
         for name in ("engine-1", "engine-2"):
             self.fleet.http.request(
                 "POST", self.fleet.urls[name] + "/faults", json=faults
@@ -72,7 +72,7 @@
         return [
             (item["id"], item["revision"])
             for name in names or ("engine-1", "engine-2")
-            for item in self.engine(name, "/v1/models")["data"]
+            for item in self.get_engine(name, "/v1/models")["data"]
         ]
 
     def engine_of(self, model):
@@ -90,7 +90,7 @@
         return "yes"
 
     def restart_engine(self, name):
-        self.memory()
+        self.memory_exceeded()
         self.fleet.processes[name].kill()
         self.start_engine(name)
 
@@ -99,10 +99,10 @@
         self.fleet.standin(name, "engine", *ENGINE, f"--port={port}")
         self.fleet.processes[name].ports()
 
-    def memory(self):
-        states = [self.engine(name, "/memory") for name in ("engine-1", "engine-2")]
-        self.violated = self.violated or any(state["violated"] for state in states)
-        return self.violated
+    def memory_exceeded(self):
+        states = [self.get_engine(name, "/memory") for name in ("engine-1", "engine-2")]
+        self.exceeded = self.exceeded or any(state["violated"] for state in states)
+        return self.exceeded
 
     def lease(self):
         return self.fleet.store().get(Kind.LEASE, "planner").unwrap().spec
@@ -131,21 +131,21 @@
     session.add("an engine killed and none in its place:", placed.all_answer())
     placed.start_engine(killed)
 
-    placed.faults(late=1, late_by=0.8)
-    placed.add("m-d")
+    placed.set_faults(late=1, late_by=0.8)
+    placed.add_model("m-d")
     wait_for(lambda: "m-d" in placed.log("planner-1"), "the order for m-d")
     for name in ("e1", "e2"):
         placed.fleet.processes[f"sidecar-{name}"].kill()
     placed.start_sidecars()
     session.add("sidecars killed amid a late load, all answer:", placed.all_answer())
-    session.add("an engine had more than its memory:", placed.memory())
+    session.add("an engine had more than its memory:", placed.memory_exceeded())
 
-    placed.faults(lost=1, answers_lost=1)
+    placed.set_faults(lost=1, answers_lost=1)
     for name in ("m-e", "m-f", "m-g"):
-        placed.add(name)
+        placed.add_model(name)
     session.add("loads and answers to loads lost, all answer:", placed.all_answer())
 
-    placed.add("m-a", "r2")
+    placed.add_model("m-a", "r2")
     old = ("m-a", "r1")
     wait_for(lambda: old not in placed.resident(), "unload of the old revision")
     session.add("revision changed, all answer:", placed.all_answer())
@@ -168,7 +168,7 @@
     sent = placed.log(name).count("event=order_sent")
     frozen.signal(signal.SIGCONT)
     wait_for(lambda: placed.log(name).count("event=lease_lapsed") > before, "an expiry")
-    session.add("an engine had more than its memory:", placed.memory())
+    session.add("an engine had more than its memory:", placed.memory_exceeded())
     for engine in ("engine-1", "engine-2"):
         placed.restart_engine(engine)
     session.add("both engines replaced after it, all answer:", placed.all_answer())
@@ -179,5 +179,5 @@
     session.add("holder asked to stop, exits with", leader.stop())
     wait_for(lambda: placed.lease()["epoch"] == 4, "the next leader")
     session.add("next holder at once, epoch:", placed.lease()["epoch"])
-    session.add("an engine had more than its memory:", placed.memory())
+    session.add("an engine had more than its memory:", placed.memory_exceeded())
     session.check()
