--- a/src/persimmonhitch/planner/lease.py
+++ b/src/persimmonhitch/planner/lease.py
@@ -122,12 +122,17 @@
         self._valid_until = 0.0
         self._seen_version: Version | None = None
         self._seen_at = 0.0
+        """When the seen version was first read, or written as its holder reported."""
         self._min_epoch = 0
+        """Highest epoch observed; a lease with a lower epoch is not adopted."""
         self._sent: tuple[int, int, float] | None = None
+        """Epoch, renewal count and send time of the last write."""
         self._caretaker: Epoch | None = None
+        """Epoch under which this process is the caretaker, if it is."""
         self._store_unavailable = False
         self._last_step_at = 0.0
         self._peer_release: tuple[str, int] | None = None
+        """VM and epoch of the last release that a holder reported."""
         self._restored_at: float | None = None
         """When this process learned that the store was restored from an older copy."""
         self._exclusive_until = 0.0
@@ -168,7 +173,7 @@
         return epoch
 
     def receive_renewal(self, version: Version, age_s: float) -> None:
-        """Record when the holder wrote a version of the lease, as it reported itself.
+        """Record the time of a write of the lease, as reported by its holder.
 
         The lease then expires earlier for this process than by its own reads of the
         lease object, of which the first would only start the measurement.
@@ -178,7 +183,7 @@
                 self._seen_version, self._seen_at = version, self._clock() - age_s
 
     def receive_release(self, vm: Vm, epoch: Epoch) -> None:
-        """Record that the holder itself reported the end of its epoch."""
+        """Record that the holder has released its lease, as reported by the holder."""
         self._peer_release = (vm, epoch)
 
     def handle_store_restore(self) -> None:
@@ -224,7 +229,7 @@
                 self._caretaker = None
             held = self._held
             if held is not None and LeaseSpec.from_object(held).epoch < epoch:
-                log("lease_overtaken", epoch=epoch)
+                log("lease_superseded", epoch=epoch)
                 self._held = None
 
     def store_reachable(self) -> bool:
--- a/src/persimmonhitch/planner/links.py
+++ b/src/persimmonhitch/planner/links.py
@@ -66,7 +66,7 @@
         Shared secret of the fleet.
     hello : callable
         Returns the first message to send on a link.
-    tell : callable
+    deliver : callable
         Receives ``LinkOpened``, ``LinkLost`` and ``SidecarMessage``.
     """
 
@@ -98,6 +98,6 @@
         if isinstance(result, Success):
             self._deliver(LinkOpened(info.upstream, result.unwrap()))
         else:
-            log("sidecar_unreached", upstream=info.upstream, error=result.failure())
+            log("sidecar_unreachable", upstream=info.upstream, error=result.failure())
         with self._lock:
             self._dialing.discard(info.upstream)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -47,7 +47,7 @@
 
 
 def new_keeper(store, clock, name):
-    return LeaseKeeper(store, "planner", name, f"life-{name}", LEASE_S, clock)
+    return LeaseKeeper(store, "planner", name, f"run-{name}", LEASE_S, clock)
 
 
 def advance(clock, seconds, *keepers):
@@ -235,7 +235,7 @@
     lease = new_keeper(store, clock, "a")
     lease.step()
     planner = RoundPlanner(400.0, LoadPacer(10.0, 10, 10))
-    actor = PlanningActor(lease, planner, PlanningConfig(settle_s), "life", clock)
+    actor = PlanningActor(lease, planner, PlanningConfig(settle_s), "run", clock)
     for msg in (CatalogRead(catalog()), SidecarsListed({UP: sidecar_info(UP)}), Tick()):
         actor.handle(msg)
     link = FakeLink()
@@ -266,7 +266,7 @@
     lease, actor, link = start_planning(store, clock)
     store.faults.down = True
     advance(clock, 30, lease)
-    other = Copy(Model("gone"), None, "1")
+    other = Copy(Model("unlisted"), None, "1")
     actor.handle(SidecarMessage(UP, inventory(copies=[(other, CopyState.LOADED, 0.0)])))
     actor.handle(Tick())
     assert sent_orders(link)[1:] == [("load", MODEL)]
