--- a/src/persimmonhitch/direct/__main__.py
+++ b/src/persimmonhitch/direct/__main__.py
@@ -11,6 +11,6 @@
 
 code = main()
 sys.stdout.flush()
-# Threads blocked in a call to the store or an upstream would delay the exit, and the
-# platform kills a process that exceeds its stop time without notice.
+# Threads blocked in a call to the store or an upstream would delay the exit beyond the
+# stop limit, at which the platform kills the process without notice.
 os._exit(code)
--- a/src/persimmonhitch/direct/attempts.py
+++ b/src/persimmonhitch/direct/attempts.py
@@ -275,8 +275,8 @@
     def _report_loss(self, request: InFlightRequest, record: UpstreamRecord) -> None:
         """Report that a request may have crashed its upstream.
 
-        A stream that has run for more than ``RECENT_START_S`` makes no suspect. A
-        stream without a head counts as recent: the head may be lost with the upstream.
+        A request is no suspect once its stream has run for ``RECENT_START_S``. A stream
+        without a head counts as recent: the head may be lost with the upstream.
         """
         is_stream = request.admitted.route.kind is RouteKind.STREAM
         elapsed = 0.0 if request.head_at is None else self._clock() - request.head_at
--- a/src/persimmonhitch/direct/blocked_requests.py
+++ b/src/persimmonhitch/direct/blocked_requests.py
@@ -16,7 +16,7 @@
 POLL_INTERVAL_S: Final = 0.2
 """Interval at which blocked requests are compared with those in the store."""
 WRITE_STAGGER_S: Final = 0.6
-"""Delay per entry that writes before this one; usually a single entry then writes."""
+"""Write delay per preceding entry, so that usually a single entry writes."""
 UNTIL_KEY: Final = "until"
 """Field of a stored object: Unix time in seconds at which the block ends."""
 
--- a/src/persimmonhitch/direct/dispatcher.py
+++ b/src/persimmonhitch/direct/dispatcher.py
@@ -217,7 +217,7 @@
     def _match_waiters(self, freed: UpstreamRecord | None = None) -> None:
         """Assign free slots to waiting requests in order of rank and arrival.
 
-        If given, ``freed`` alone has gained a slot; requests that can't run there wait.
+        If given, ``freed`` alone has gained a slot: skip requests that can't run on it.
         """
         for waiter in sorted(self._waiters, key=_Waiter.sort_key):
             if waiter.decided.is_set():
--- a/src/persimmonhitch/direct/engine_controller.py
+++ b/src/persimmonhitch/direct/engine_controller.py
@@ -1,4 +1,4 @@
-"""Load and unload orders to one engine, and its inventory."""
+"""Sends load and unload orders to one engine and tracks its inventory."""
 
 import threading
 import time
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -1,8 +1,8 @@
 """The leader: decides which models and adapters each engine loads.
 
 One entry at a time sends load orders, under a lease in the store. All entries report
-their demand and their requests in progress to it; it publishes the inventory of each
-engine.
+their demand and their requests in progress to the leader, which publishes the inventory
+of each engine.
 """
 
 import itertools
--- a/src/persimmonhitch/direct/order_history.py
+++ b/src/persimmonhitch/direct/order_history.py
@@ -82,7 +82,7 @@
         """Return the time from which this history covers all orders within the guard.
 
         A newly started process has received no reports of earlier orders, even if their
-        sender released the lease properly. In a rolling restart of all entries, such a
+        sender released the lease properly. In a rolling restart of all entries, this
         process would otherwise send orders right after the previous leader.
         """
         if predecessor.vm == self._vm and predecessor.held_s >= self._guard_s:
--- a/src/persimmonhitch/direct/peer_messages.py
+++ b/src/persimmonhitch/direct/peer_messages.py
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True)
 class CrashReport:
-    """An upstream that may have crashed, and the requests that were lost there."""
+    """An upstream that may have crashed, and the requests that were lost with it."""
 
     upstream: Upstream
     started_at_ms: int
