--- a/src/persimmonhitch/catalog/exchange.py
+++ b/src/persimmonhitch/catalog/exchange.py
@@ -42,10 +42,10 @@
         """Return the entries to which links are open."""
 
     def send(self, vm: Vm, msg: Any) -> bool:
-        """Send a message; False when no link is open."""
+        """Send a message; return False if no link is open."""
 
     def on(self, kind: type[M], handler: Callable[[Vm, M], None]) -> None:
-        """Call ``handler`` with the sender and each message of a kind."""
+        """Call ``handler`` with sender and message for messages of type ``kind``."""
 
 
 class PeerExchange:
--- a/src/persimmonhitch/catalog/feed.py
+++ b/src/persimmonhitch/catalog/feed.py
@@ -64,7 +64,7 @@
         return self._catalog
 
     def confirm(self, sent_at: float) -> None:
-        """Record that a source answered a query sent at ``asked_at``."""
+        """Record that a source answered a query sent at ``sent_at``."""
         self.gate.confirm(sent_at)
         if self.version and self.gate.confirmed(self._clock()):
             self.ready.set()
--- a/src/persimmonhitch/catalog/gate.py
+++ b/src/persimmonhitch/catalog/gate.py
@@ -43,7 +43,7 @@
         self._last_active = max(self._last_active, now)
 
     def confirm(self, sent_at: float) -> None:
-        """Record that a confirmed source answered a query sent at ``asked_at``."""
+        """Record that a confirmed source answered a query sent at ``sent_at``."""
         with self._lock:
             self._confirmed_at = max(self._confirmed_at, sent_at)
 
--- a/src/persimmonhitch/catalog/log.py
+++ b/src/persimmonhitch/catalog/log.py
@@ -176,7 +176,7 @@
         Name of the author of the changes, stored in the log.
     wall : callable
         Wall clock in seconds.
-    pause : callable
+    sleep : callable
         Function that sleeps a number of seconds between two attempts.
     """
 
--- a/src/persimmonhitch/catalog/messages.py
+++ b/src/persimmonhitch/catalog/messages.py
@@ -45,7 +45,7 @@
 @message(52)
 @dataclass(frozen=True)
 class ConfigSnapshot:
-    """Part of the whole catalog, for a peer that lags beyond the retained changes."""
+    """Part of a catalog, for a peer that lags beyond the retained changes."""
 
     confirmed: bool
     nonce: int
--- a/src/persimmonhitch/catalog/store_source.py
+++ b/src/persimmonhitch/catalog/store_source.py
@@ -47,13 +47,13 @@
     store : ObjectStore
         The object API.
     feed : CatalogFeed
-        Receives the changes read.
+        Applies the changes that were read.
     needed : callable
         Returns whether this process must read the store now.
-    told : callable
-        Receives the changes that were applied.
-    reached : callable
-        Receives whether the store answered.
+    on_changes : callable
+        Called with the changes that were applied.
+    on_available : callable
+        Called with whether the store answered.
     clock : callable
         Monotonic clock in seconds.
     """
