--- a/tests/test_catalog_feed.py
+++ b/tests/test_catalog_feed.py
@@ -29,7 +29,7 @@
     monkeypatch.setattr(store_source, "WATCH_TIMEOUT_S", 0.0)
 
 
-def started(vms=VMS, changes=3):
+def start_fleet(vms=VMS, changes=3):
     fleet = Fleet(vms)
     fill(fleet.store, changes)
     for _ in range(2):
@@ -44,16 +44,16 @@
 
 
 def test_a_change_reaches_all_through_few_watchers():
-    fleet = started()
+    fleet = start_fleet()
     fleet.store.calls.clear()
-    sent = fleet.sent
+    sent_before = fleet.sent
     fill(fleet.store, 1, "n")
     fleet.step()
     assert fleet.versions() == [4] * len(VMS)
     assert fleet.store.calls["watch"] == MAX_WATCHERS
     assert "list" not in fleet.store.calls or fleet.store.calls["list"] < 3
-    asked = 2 * 2 * len(VMS)
-    assert fleet.sent - sent <= asked + MAX_WATCHERS * len(VMS)
+    pull_messages = 2 * 2 * len(VMS)
+    assert fleet.sent - sent_before <= pull_messages + MAX_WATCHERS * len(VMS)
 
 
 def test_a_withdrawn_key_is_refused_by_an_entry_without_the_store():
@@ -62,8 +62,8 @@
     Without changes from peers, the entry would accept the key until the connection
     is restored. Peers send the change to watchers and to all other entries.
     """
-    for cut_vm in (watcher_vms(started())[0], VMS[5]):
-        fleet = started()
+    for cut_vm in (watcher_vms(start_fleet())[0], VMS[5]):
+        fleet = start_fleet()
         key, delta = issue(lists(), "coop").unwrap()
         base = read_head(fleet.store).unwrap().catalog
         ops = writer(fleet.store)
@@ -86,7 +86,7 @@
     All other entries depend on the watchers, so without a new election the region
     would stay at its version.
     """
-    fleet = started()
+    fleet = start_fleet()
     for vm in watcher_vms(fleet):
         fleet.entries[vm].store.offline = True
     fleet.step()
@@ -102,7 +102,7 @@
     No entry of the region can watch the store, so without pulls from other regions
     the whole region would stay at its version.
     """
-    fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
+    fleet = start_fleet([f"{name}{number}" for name in "ab" for number in range(8)])
     for vm, entry in fleet.entries.items():
         entry.store.offline = vm.startswith("b")
     fill(fleet.store, 1, "n")
@@ -113,7 +113,7 @@
 
 def test_partitioned_regions_update_from_the_store():
     """Two regions are partitioned from each other and still reach the store."""
-    fleet = started([f"{name}{number}" for name in "ab" for number in range(8)])
+    fleet = start_fleet([f"{name}{number}" for name in "ab" for number in range(8)])
     fleet.regions_partitioned = True
     fill(fleet.store, 1, "n")
     fleet.step()
@@ -126,7 +126,7 @@
     Without snapshots the list of changes, which each new entry and each operator
     command reads as a whole, would grow with every change.
     """
-    fleet = started(VMS[:3])
+    fleet = start_fleet(VMS[:3])
     for _ in range(3):
         fill(fleet.store, INTERVAL, "n")
         fleet.step()
@@ -143,7 +143,7 @@
     The new entry must not become ready without a configuration, and must not wait
     for the store if its peers have one.
     """
-    fleet = started(VMS[:3])
+    fleet = start_fleet(VMS[:3])
     fleet.store.faults.down = True
     new_entry = fleet.add("new")
     fleet.partitioned = {"new"}
@@ -156,7 +156,7 @@
 
 
 def test_an_entry_far_behind_gets_the_whole_catalog_in_an_outage():
-    fleet = started(VMS[:2], MAX_HISTORY + INTERVAL)
+    fleet = start_fleet(VMS[:2], MAX_HISTORY + INTERVAL)
     fleet.store.faults.down = True
     new = fleet.add("new")
     fleet.step()
@@ -168,7 +168,7 @@
 
     An entry that rejected its old configuration would refuse all requests.
     """
-    fleet = started(VMS[:3])
+    fleet = start_fleet(VMS[:3])
     fleet.store.faults.down = True
     for _ in range(600):
         fleet.step()
@@ -212,14 +212,14 @@
     Its socket buffers contain answers sent before the withdrawal, which confirm
     its outdated configuration.
     """
-    fleet = started()
+    fleet = start_fleet()
     vm = VMS[4]
     entry = fleet.entries[vm]
     entry.store.offline = cut
     feed = freeze_during_change(fleet, vm)
-    old = fleet.frozen[vm][:2]
-    assert all(decode(frame).unwrap().version == 3 for _, frame in old)
-    fleet.frozen[vm] = old
+    old_answers = fleet.frozen[vm][:2]
+    assert all(decode(frame).unwrap().version == 3 for _, frame in old_answers)
+    fleet.frozen[vm] = old_answers
     fleet.thaw(vm)
     assert feed.version == 3 and not feed.gate.open(fleet.now)
     fleet.step(0.2)
@@ -232,7 +232,7 @@
     Blocking all requests for the whole partition would affect valid callers. The
     sidecars know the newer version and refuse requests under the old one.
     """
-    fleet = started()
+    fleet = start_fleet()
     vm = VMS[4]
     feed = freeze_during_change(fleet, vm)
     fleet.frozen[vm].clear()
@@ -253,7 +253,7 @@
     If the change were skipped, two processes would have different content at one
     version.
     """
-    fleet = started(VMS[:2])
+    fleet = start_fleet(VMS[:2])
     fleet.store.create(Kind.CHANGE, f"{4:012d}", {"number": 4}).unwrap()
     spec = fleet.store.get(Kind.CHANGE, f"{3:012d}").unwrap().spec
     fleet.store.create(Kind.CHANGE, f"{5:012d}", {**spec, "number": 5}).unwrap()
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "now", "version", "refused"),
+    ("reports", "now", "version", "refused"),
     [
         ([], 0.0, 0, False),
         ([(5, 0.0)], GRACE_S - 0.1, 4, False),
@@ -274,10 +274,10 @@
         ([(5, 0.0), (3, 3.0)], 60.0, 5, False),
     ],
 )
-def test_sidecars_refuse_outdated_versions(heard, now, version, refused):
+def test_sidecars_refuse_outdated_versions(reports, now, version, refused):
     versions = ReportedVersions()
-    for number, at in heard:
-        versions.record(number, at)
+    for number, reported_at in reports:
+        versions.record(number, reported_at)
     failure = versions.refusal(version, now)
     assert (failure is not None) is refused
     if failure:
@@ -298,7 +298,7 @@
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.fleet = started(VMS[:6], 1)
+        self.fleet = start_fleet(VMS[:6], 1)
         self.accepted = {1: read_head(self.fleet.store).unwrap().catalog}
 
     def commit(self):
--- a/tests/test_config_stale.py
+++ b/tests/test_config_stale.py
@@ -20,18 +20,18 @@
     The sidecar received the newer version from another entry and refuses them.
     """
     monkeypatch.setattr(staleness, "GRACE_S", 0.0)
-    started = start_sidecar(ServiceApp(), UpstreamKind.SERVICE)
+    rig = start_sidecar(ServiceApp(), UpstreamKind.SERVICE)
 
     def first_frame(version):
-        sub = _as_submit(admitted("ledger"), started.conn, 1, time.monotonic(), version)
-        return started.conn.submit(sub).get(5.0)
+        msg = _as_submit(admitted("ledger"), rig.conn, 1, time.monotonic(), version)
+        return rig.conn.submit(msg).get(5.0)
 
-    started.conn.link.send(ConfigNotice(2))
-    wait_for(lambda: started.server.version == 2, "the notice")
+    rig.conn.link.send(ConfigNotice(2))
+    wait_for(lambda: rig.server.version == 2, "the notice")
     stale = first_frame(1)
     assert isinstance(stale, Fail) and stale.code is ErrorCode.STALE_CONFIG
     assert (stale.verdict, stale.retry_after) == (Verdict.NOT_RUN, 1.0)
-    assert not started.app.runs
+    assert not rig.app.runs
     assert isinstance(first_frame(2), Head)
-    assert list(started.app.runs.values()) == [1]
-    started.close()
+    assert list(rig.app.runs.values()) == [1]
+    rig.close()
