--- a/src/persimmonhitch/entry/exchange.py
+++ b/src/persimmonhitch/entry/exchange.py
@@ -94,10 +94,10 @@
         """Append ``LinkLost``."""
         self._frames.put(LinkLost())
 
-    def get(self, timeout: float) -> Incoming | None:
+    def get(self, timeout_s: float) -> Incoming | None:
         """Return the next frame, or None after ``timeout`` seconds."""
         try:
-            frame = self._frames.get(timeout=max(0.0, timeout))
+            frame = self._frames.get(timeout=max(0.0, timeout_s))
         except queue.Empty:
             return None
         if isinstance(frame, Chunk):
--- a/src/persimmonhitch/entry/forward.py
+++ b/src/persimmonhitch/entry/forward.py
@@ -20,10 +20,10 @@
 from .router import Router, group_of
 from .sidecar_conn import SidecarConn
 
-MAX_FULL_BYTES: Final = 8 * 1024 * 1024
+MAX_REPLY_BYTES: Final = 8 * 1024 * 1024
 """Size limit of an answer that is buffered in memory instead of streamed."""
 RETRY_AFTER_S: Final = 2.0
-WAIT_STEP_S: Final = 0.1
+POLL_INTERVAL_S: Final = 0.1
 
 
 @dataclass(frozen=True)
@@ -67,15 +67,15 @@
         prior_verdict = Verdict.NOT_RUN
         while True:
             attempt += 1
-            target = self._target(req, tried)
+            chosen = self._choose_sidecar(req, tried)
             # Read the version before checking the key: the version sent must not
             # be newer than the version under which the key was valid.
             version = req.config_version()
             if req.key_withdrawn():
                 return Err(_with_prior_verdict(prior_verdict, KEY_WITHDRAWN))
-            if not isinstance(target, Success):
-                return Err(_with_prior_verdict(prior_verdict, target.failure()))
-            conn = target.unwrap()
+            if not isinstance(chosen, Success):
+                return Err(_with_prior_verdict(prior_verdict, chosen.failure()))
+            conn = chosen.unwrap()
             result = self._run_attempt(req, conn, attempt, version)
             if isinstance(result, Success):
                 return result
@@ -93,7 +93,7 @@
             return False
         return self._budget.try_spend(now)
 
-    def _target(
+    def _choose_sidecar(
         self, req: AdmittedCall, tried: frozenset[Upstream]
     ) -> Result[SidecarConn, Failure]:
         call = req.call
@@ -109,7 +109,7 @@
             remaining_s = req.deadline_at - time.monotonic()
             if remaining_s <= 0 or req.disconnected():
                 return Err(_no_upstream(req))
-            self._wait_for_change(min(remaining_s, WAIT_STEP_S))
+            self._wait_for_change(min(remaining_s, POLL_INTERVAL_S))
 
     def _run_attempt(
         self, req: AdmittedCall, conn: SidecarConn, attempt: int, version: ConfigVersion
@@ -160,19 +160,19 @@
     def _read_full(
         self, conn: SidecarConn, head: Head, frames: Iterator[Frame]
     ) -> Result[Reply, Failure]:
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         for frame in frames:
             if isinstance(frame, Fail):
                 return self._attempt_failed(conn, frame)
             if isinstance(frame, Chunk):
-                parts.append(frame.data)
+                chunks.append(frame.data)
                 size += len(frame.data)
-            if size > MAX_FULL_BYTES:
-                reason = f"the answer is longer than {MAX_FULL_BYTES} bytes"
+            if size > MAX_REPLY_BYTES:
+                reason = f"the answer is longer than {MAX_REPLY_BYTES} bytes"
                 return Err(Failure(ErrorCode.UPSTREAM_ERROR, reason, Verdict.RAN))
             if isinstance(frame, End):
-                body = b"".join(parts)
+                body = b"".join(chunks)
                 return Success(FullReply(head.status, head.headers, body, frame.tokens))
         raise AssertionError("an attempt ended without End or Fail")
 
--- a/src/persimmonhitch/entry/gateway.py
+++ b/src/persimmonhitch/entry/gateway.py
@@ -30,7 +30,7 @@
     """Interface of the rate limiter."""
 
     def reserve(
-        self, account: Account, cost: Tokens, wait: float
+        self, account: Account, cost: Tokens, timeout_s: float
     ) -> Result[Reservation, Failure]:
         """Reserve tokens, waiting up to ``wait`` seconds."""
 
--- a/src/persimmonhitch/entry/main.py
+++ b/src/persimmonhitch/entry/main.py
@@ -79,7 +79,7 @@
         )
         self.records = IdempotencyRecords(store)
         self.registration = Registration(store, Kind.ENTRY, cfg.vm)
-        self.app = self._app()
+        self.app = self._build_app()
         self.server = WebServer(
             self.app, cfg.host, cfg.port, cfg.threads, unreadable_answer
         )
@@ -89,7 +89,7 @@
         """Build the process from its settings."""
         return cls(cfg)
 
-    def _app(self) -> EntryApp:
+    def _build_app(self) -> EntryApp:
         cfg = self.cfg
         router = Router(self.pool, Zone(cfg.zone), random.Random())
         forwarder = Forwarder(router, self.pool.wait_for_change, self.metrics)
@@ -163,7 +163,7 @@
             "incarnation": self.incarnation,
         }
 
-    def stop(self, life: Lifecycle) -> None:
+    def stop(self, lifecycle: Lifecycle) -> None:
         """Shut down without interrupting requests.
 
         The entry first reports that it is not ready and keeps the listener open for
@@ -173,9 +173,9 @@
         """
         self.app.draining.set()
         self.server.disable_keep_alive()
-        life.forced.wait(self.cfg.stop_notice)
+        lifecycle.forced.wait(self.cfg.stop_notice)
         self.server.stop_listening()
-        aborted = self.server.drain(self.cfg.stop_limit, life.forced)
+        aborted = self.server.drain(self.cfg.stop_limit, lifecycle.forced)
         if aborted:
             log("stop_cut", requests=aborted)
         self.shares.close()
--- a/src/persimmonhitch/entry/pool.py
+++ b/src/persimmonhitch/entry/pool.py
@@ -65,9 +65,9 @@
         frozen or disconnected when the platform starts to remove its VM reports
         nothing, and would get requests until the VM is removed.
         """
-        names = view.objects.items()
+        items = view.objects.items()
         self._leaving_vms = frozenset(
-            Vm(name) for name, obj in names if obj.spec.get("state") == VM_LEAVING
+            Vm(name) for name, obj in items if obj.spec.get("state") == VM_LEAVING
         )
 
     def _update_conn(self, name: Upstream, info: SidecarInfo) -> None:
@@ -90,7 +90,7 @@
 
     def copies(self) -> dict[Model, tuple[Upstream, ...]]:
         """Return the usable upstreams of each model and service."""
-        found: dict[Model, tuple[Upstream, ...]] = {}
+        upstreams: dict[Model, tuple[Upstream, ...]] = {}
         for conn in self._all_conns():
             if not conn.usable:
                 continue
@@ -98,8 +98,8 @@
             if conn.info.kind is UpstreamKind.ENGINE:
                 names = list(conn.models)
             for name in names:
-                found[name] = (*found.get(name, ()), conn.info.upstream)
-        return found
+                upstreams[name] = (*upstreams.get(name, ()), conn.info.upstream)
+        return upstreams
 
     def broadcast(self, msg: Any) -> None:
         """Send a message on every open link."""
@@ -108,10 +108,10 @@
             if link is not None:
                 link.send(msg)
 
-    def wait_for_change(self, timeout: float) -> None:
+    def wait_for_change(self, timeout_s: float) -> None:
         """Wait until a sidecar may have connected, at most ``timeout`` seconds."""
         with self._changed:
-            self._changed.wait(timeout)
+            self._changed.wait(timeout_s)
 
     def _all_conns(self) -> list[SidecarConn]:
         with self._changed:
--- a/tests/test_forward_verdict.py
+++ b/tests/test_forward_verdict.py
@@ -35,7 +35,7 @@
     forwarder = Forwarder(None, None, metrics)
     monkeypatch.setattr(
         forwarder,
-        "_target",
+        "_choose_sidecar",
         lambda _req, tried: Success(conns[len(tried)]) if remaining else Err(NONE),
     )
     monkeypatch.setattr(forwarder, "_run_attempt", lambda *_args: Err(remaining.pop(0)))
--- a/tests/test_leaving_golden.py
+++ b/tests/test_leaving_golden.py
@@ -21,7 +21,7 @@
         yield running
 
 
-def started(fleet, engine):
+def starts(fleet, engine):
     answer = fleet.http.request("GET", fleet.urls[engine] + "/seen")
     return len(answer.json()["started"])
 
@@ -33,11 +33,11 @@
     def run():
         replies.append(fleet.chat(entry, "fretes", "leaving", count, stream=True))
 
-    before = started(fleet, "engine-1") + started(fleet, "engine-2")
+    before = starts(fleet, "engine-1") + starts(fleet, "engine-2")
     thread = threading.Thread(target=run)
     thread.start()
     wait_for(
-        lambda: started(fleet, "engine-1") + started(fleet, "engine-2") > before,
+        lambda: starts(fleet, "engine-1") + starts(fleet, "engine-2") > before,
         "the stream to start",
     )
 
@@ -48,7 +48,7 @@
     return reply
 
 
-def ready(fleet, entry):
+def readyz(fleet, entry):
     return fleet.http.request("GET", fleet.urls[entry] + "/readyz").status
 
 
@@ -62,18 +62,18 @@
     sidecar = fleet.processes["sidecar-e1"]
     sidecar.signal(signal.SIGTERM)
     replies = [reply() for reply in streams]
-    whole = all(reply.body.endswith(b"data: [DONE]\n\n") for reply in replies)
-    session.add("six streams while upstream e1 leaves, all whole:", whole)
+    complete = all(reply.body.endswith(b"data: [DONE]\n\n") for reply in replies)
+    session.add("six streams while upstream e1 leaves, all whole:", complete)
     session.add("sidecar exits with", sidecar.popen.wait(15))
-    before = started(fleet, "engine-1")
+    before = starts(fleet, "engine-1")
     codes = {fleet.chat("entry-2", "fretes", "more", 2).status for _ in range(8)}
     session.add("eight calls after it:", *codes)
-    session.add("of these to e1:", started(fleet, "engine-1") - before)
+    session.add("of these to e1:", starts(fleet, "engine-1") - before)
 
     reply = start_stream(fleet, "entry-1")
     entry = fleet.processes["entry-1"]
     entry.signal(signal.SIGTERM)
-    wait_for(lambda: ready(fleet, "entry-1") == 503, "entry-1 to be not ready")
+    wait_for(lambda: readyz(fleet, "entry-1") == 503, "entry-1 to be not ready")
     session.add("entry-1 leaves, readiness: 503")
     session.add("its stream is whole:", reply().body.endswith(b"data: [DONE]\n\n"))
     session.add("entry exits with", entry.popen.wait(15))
@@ -95,9 +95,9 @@
             return fleet.chat("entry-1", "fretes", "call", 1, headers=headers).status
 
         wait_for(lambda: status() == 503, "the end of new work at e1")
-        before = started(fleet, "engine-1")
+        before = starts(fleet, "engine-1")
         assert [status() for _ in range(3)] == [503, 503, 503]
-        assert started(fleet, "engine-1") == before
+        assert starts(fleet, "engine-1") == before
 
 
 def test_second_signal_ends_at_once(tmp_path):
@@ -107,29 +107,29 @@
     """
     with Fleet(tmp_path) as fleet:
         start_fleet(fleet)
-        cut = threading.Event()
+        interrupted = threading.Event()
 
         def run():
             try:
                 body = fleet.chat("entry-1", "fretes", "long", 4000, stream=True).body
             except HTTPError:
-                cut.set()
+                interrupted.set()
                 return
             if b"[DONE]" not in body:
-                cut.set()
+                interrupted.set()
 
         threading.Thread(target=run).start()
         wait_for(
-            lambda: started(fleet, "engine-1") + started(fleet, "engine-2") > 0,
+            lambda: starts(fleet, "engine-1") + starts(fleet, "engine-2") > 0,
             "the stream to start",
         )
         entry = fleet.processes["entry-1"]
         entry.signal(signal.SIGTERM)
-        wait_for(lambda: ready(fleet, "entry-1") == 503, "entry-1 to be not ready")
+        wait_for(lambda: readyz(fleet, "entry-1") == 503, "entry-1 to be not ready")
         entry.signal(signal.SIGTERM)
         entry.popen.wait(10)
         assert "event=stop_cut" in entry.log.read_text()
-        assert cut.wait(10)
+        assert interrupted.wait(10)
 
 
 def test_signal_after_freeze_is_handled(tmp_path):
@@ -141,12 +141,12 @@
         process = fleet.standin("service-1", "service")
         fleet.record_urls("port", "service-1")
         process.signal(signal.SIGSTOP)
-        wait_for(lambda: state_of(process.popen.pid) == "T", "the freeze")
+        wait_for(lambda: process_state(process.popen.pid) == "T", "the freeze")
         process.signal(signal.SIGCONT)
         process.signal(signal.SIGTERM)
         assert process.popen.wait(5) == 0
 
 
-def state_of(pid):
+def process_state(pid):
     with open(f"/proc/{pid}/stat") as stat:
         return stat.read().rsplit(")", 1)[1].split()[0]
--- a/tests/test_once_golden.py
+++ b/tests/test_once_golden.py
@@ -17,16 +17,16 @@
         yield running
 
 
-def book(fleet, entry, token=None, **more):
-    headers = {"Idempotency-Key": token} if token else {}
-    return fleet.request(entry, "POST", SLOTS, "fretes", headers=headers, **more)
+def book(fleet, entry, key=None, **options):
+    headers = {"Idempotency-Key": key} if key else {}
+    return fleet.request(entry, "POST", SLOTS, "fretes", headers=headers, **options)
 
 
-def start_booking(fleet, entry, token=None):
+def start_booking(fleet, entry, key=None):
     """Start a booking on a thread; return a function that waits for its reply."""
     replies = []
     thread = threading.Thread(
-        target=lambda: replies.append(book(fleet, entry, token, body=b"slot 7"))
+        target=lambda: replies.append(book(fleet, entry, key, body=b"slot 7"))
     )
     before = len(fleet.runs("service-1"))
     thread.start()
