--- a/src/persimmonhitch/entry/answers.py
+++ b/src/persimmonhitch/entry/answers.py
@@ -12,6 +12,7 @@
     "Content-Type": "text/event-stream",
     "Cache-Control": "no-store",
 }
+# Headers that describe the framing of the upstream's own HTTP connection.
 FRAME_HEADERS: Final = frozenset({"content-length", "transfer-encoding", "connection"})
 
 
--- a/src/persimmonhitch/entry/attempt.py
+++ b/src/persimmonhitch/entry/attempt.py
@@ -12,7 +12,7 @@
 from .sidecar_conn import SidecarConn
 
 POLL_INTERVAL_S: Final = 0.1
-"""Interval of the checks whether the caller is still connected."""
+"""Interval of the checks for a reason to abandon the attempt."""
 VERDICT_GRACE_S: Final = 0.1
 """Time after the deadline to wait for the sidecar's own verdict."""
 RESUME_TIMEOUT_S: Final = 4.0
--- a/src/persimmonhitch/entry/exchange.py
+++ b/src/persimmonhitch/entry/exchange.py
@@ -95,7 +95,7 @@
         self._frames.put(LinkLost())
 
     def get(self, timeout_s: float) -> Incoming | None:
-        """Return the next frame, or None after ``timeout`` seconds."""
+        """Return the next frame, or None after ``timeout_s`` seconds."""
         try:
             frame = self._frames.get(timeout=max(0.0, timeout_s))
         except queue.Empty:
--- a/src/persimmonhitch/entry/gateway.py
+++ b/src/persimmonhitch/entry/gateway.py
@@ -32,7 +32,7 @@
     def reserve(
         self, account: Account, cost: Tokens, timeout_s: float
     ) -> Result[Reservation, Failure]:
-        """Reserve tokens, waiting up to ``wait`` seconds."""
+        """Reserve tokens, waiting up to ``timeout_s`` seconds."""
 
     def settle(self, reservation: Reservation, used: Tokens) -> None:
         """Return the unused part of a reservation."""
--- a/src/persimmonhitch/entry/idempotency.py
+++ b/src/persimmonhitch/entry/idempotency.py
@@ -3,9 +3,9 @@
 Before sending the request to an upstream, the entry creates a record in the store
 under the caller's key. Creation is conditional: of two entries, or of two
 incarnations of one entry around a crash, exactly one creates the record and runs
-the request. While the store is unavailable, requests with the header are refused
-with ``not_run``, because a single run can't be guaranteed. Requests without the
-header still run, and their verdict tells whether they may have run.
+the request. While the store is unavailable, such requests are refused with
+``not_run``, because a single run can't be guaranteed. Requests without the header
+still run; after a failure, their verdict tells whether they may have run.
 """
 
 import base64
@@ -35,7 +35,7 @@
 
 
 class RunState(Enum):
-    """State of a recorded run, under the values stored in its record."""
+    """State of a run, as stored in its record."""
 
     STARTED = "started"
     DONE = "done"
@@ -76,7 +76,7 @@
     ----------
     store : ObjectStore
         Store of the records.
-    wall : callable
+    wall_clock : callable
         Return the wall-clock time in seconds, for the record's age.
     """
 
--- a/src/persimmonhitch/entry/pool.py
+++ b/src/persimmonhitch/entry/pool.py
@@ -109,7 +109,7 @@
                 link.send(msg)
 
     def wait_for_change(self, timeout_s: float) -> None:
-        """Wait until a sidecar may have connected, at most ``timeout`` seconds."""
+        """Wait until a sidecar may have connected, at most ``timeout_s`` seconds."""
         with self._changed:
             self._changed.wait(timeout_s)
 
--- a/src/persimmonhitch/entry/router.py
+++ b/src/persimmonhitch/entry/router.py
@@ -69,8 +69,8 @@
     ) -> Failure | None:
         """Return the failure of a request that can't wait for a first copy, or None.
 
-        A request always waits for a listed but unreachable copy, which only has to
-        be reconnected.
+        A request may always wait for a listed but unreachable copy, since only the
+        link to its sidecar has to be restored.
         """
         if self._pool.is_listed(model, service):
             return None
--- a/src/persimmonhitch/entry/settings.py
+++ b/src/persimmonhitch/entry/settings.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class EntrySettings:
-    """Settings of one entry, as the operator writes them."""
+    """Settings of one entry, from the operator's settings file."""
 
     vm: str = setting("vm", "name", "name of this VM in the platform's list")
     zone: str = setting("vm", "zone", "availability zone of this VM")
--- a/src/persimmonhitch/entry/sidecar_conn.py
+++ b/src/persimmonhitch/entry/sidecar_conn.py
@@ -44,7 +44,7 @@
         """Return the newest configuration version of this entry."""
 
     def pull_if_newer(self, version: ConfigVersion) -> None:
-        """Report a version that a sidecar has announced."""
+        """Fetch the configuration if ``version`` is newer than the current version."""
 
 
 class SidecarConn:
@@ -168,7 +168,7 @@
         self._first_seen = {model: self._first_seen.get(model, now) for model in models}
 
     def age_of(self, model: Model, now: float) -> float:
-        """Return for how many seconds the sidecar has served a model."""
+        """Return for how long a model has been served; infinity if it is unknown."""
         return now - self._first_seen[model] if model in self._first_seen else math.inf
 
     def submit(self, msg: Submit) -> Exchange | None:
