--- a/src/persimmonhitch/catalog/lists.py
+++ b/src/persimmonhitch/catalog/lists.py
@@ -11,7 +11,7 @@
 from returns.result import Result, Success
 
 from ..ids import Account, Model, Plan, Service
-from ..settings.load import Mistake
+from ..settings.load import SettingsIssue
 from ..wire.messages import Priority
 from .changes import EntryKind
 from .model import (
@@ -153,10 +153,10 @@
     name: str
     layouts: dict[str, Layout]
     sections: list[_Section] = field(default_factory=list)
-    mistakes: list[Mistake] = field(default_factory=list)
+    mistakes: list[SettingsIssue] = field(default_factory=list)
 
     def add_mistake(self, section: str, key: str, expected: str) -> None:
-        self.mistakes.append(Mistake(self.name, section, key, expected))
+        self.mistakes.append(SettingsIssue(self.name, section, key, expected))
 
     def read(self, text: str) -> None:
         ini = configparser.ConfigParser(
@@ -257,9 +257,9 @@
     )
 
 
-def _mistake(ref: DanglingRef, accounts: _ListFile, plans: _ListFile) -> Mistake:
+def _mistake(ref: DanglingRef, accounts: _ListFile, plans: _ListFile) -> SettingsIssue:
     file = accounts if ref.entry.kind is EntryKind.ACCOUNT else plans
-    return Mistake(file.name, str(ref.entry), ref.key, ref.expected)
+    return SettingsIssue(file.name, str(ref.entry), ref.key, ref.expected)
 
 
 def parse_lists(
@@ -267,7 +267,7 @@
     plans: str,
     accounts_file: str = "accounts.ini",
     plans_file: str = "plans.ini",
-) -> Result[Catalog, tuple[Mistake, ...]]:
+) -> Result[Catalog, tuple[SettingsIssue, ...]]:
     """Parse both lists.
 
     Parameters
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -146,7 +146,7 @@
     return max(0.0, demand - copies * COPY_CAPACITY)
 
 
-def next_move(
+def next_load(
     specs: Mapping[Model, ModelSpec],
     demand: Mapping[Model, float],
     engines: Iterable[EngineView],
@@ -155,12 +155,12 @@
     """Return the load with the largest gain, or None if no load has a positive gain."""
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in demand if m in specs and state.relief(m) > 0]
-    best_gains = [_best(state, model, cold_allowed) for model in requested]
+    best_gains = [_best_gain(state, model, cold_allowed) for model in requested]
     worthwhile = [gain for gain in best_gains if gain is not None]
     return max(worthwhile, key=lambda gain: gain.gain).move if worthwhile else None
 
 
-def next_overdue(
+def next_overdue_load(
     specs: Mapping[Model, ModelSpec],
     demand: Mapping[Model, float],
     engines: Iterable[EngineView],
@@ -206,7 +206,9 @@
     move: Move
 
 
-def _best(state: _PlacementState, model: Model, cold_allowed: bool) -> _Gain | None:
+def _best_gain(
+    state: _PlacementState, model: Model, cold_allowed: bool
+) -> _Gain | None:
     """Return the load of a model with the largest gain, None if no gain is positive."""
     best: _Gain | None = None
     relief = state.relief(model)
@@ -287,7 +289,7 @@
 
     The models initially resident on an engine were placed by an operator who knows
     which models are busy. They are restored only while there is no demand at all;
-    otherwise ``next_move`` chooses the models.
+    otherwise ``next_load`` chooses the models.
     """
     state = _PlacementState(specs, demand, list(engines))
     if any(demand.values()):
--- a/src/persimmonhitch/direct/leader.py
+++ b/src/persimmonhitch/direct/leader.py
@@ -21,8 +21,8 @@
     SETTLE_S,
     EngineView,
     Move,
-    next_move,
-    next_overdue,
+    next_load,
+    next_overdue_load,
     next_restore,
     next_staging,
 )
@@ -372,7 +372,7 @@
             self._update_missing(spec, missing, views, now)
             move = self._overdue_move(spec, missing, demand, views, cold_allowed)
             if move is None:
-                move = next_move(spec.models, demand, views, cold_allowed)
+                move = next_load(spec.models, demand, views, cold_allowed)
             if move is None:
                 move = self._idle_move(spec, missing, demand, views, cold_allowed)
             if move is None:
@@ -411,7 +411,7 @@
     ) -> Move | None:
         missing.loading &= frozenset().union(*(view.loading for view in views))
         missing_for = missing.missing_durations(self._clock())
-        move = next_overdue(
+        move = next_overdue_load(
             spec.models, demand, views, missing_for, cold_allowed, missing.loading
         )
         if move is not None:
--- a/src/persimmonhitch/limits/account.py
+++ b/src/persimmonhitch/limits/account.py
@@ -20,7 +20,7 @@
     Borrow,
     Lend,
     Message,
-    Pooled,
+    PoolReply,
     PoolRequest,
     PoolReturn,
     Queued,
@@ -116,7 +116,7 @@
                 self._on_refund(msg, now)
             case PoolRequest():
                 return self._on_pool_request(vm, msg, now)
-            case Pooled():
+            case PoolReply():
                 self._on_pool_reply(vm, msg, now)
             case PoolReturn():
                 self.share.end_lease(msg.lease_id, msg.tokens, now)
@@ -303,7 +303,9 @@
         if not ok and lent is not None:
             ttl_s = max(0.0, lent.expires_at - now)
         generation = self.share.record.generation
-        msg = Pooled(self.account, req, lease, parts, Tokens(tokens), ttl_s, generation)
+        msg = PoolReply(
+            self.account, req, lease, parts, Tokens(tokens), ttl_s, generation
+        )
         return Send(vm, msg)
 
     # -- borrower --------------------------------------------------------------
@@ -313,13 +315,13 @@
         if view is not None:
             view.mark_responsive()
 
-    def _pop_pending(self, vm: Vm, request_id: LoanId) -> PendingRequest | None:
+    def _pop_pending(self, vm: Vm, loan_id: LoanId) -> PendingRequest | None:
         # Drop an answer after the timeout and a duplicate answer: this loses tokens,
         # whereas accepting them could spend the same tokens twice.
-        pending = self._pending.get(request_id)
+        pending = self._pending.get(loan_id)
         if pending is None or pending.vm != vm:
             return None
-        del self._pending[request_id]
+        del self._pending[loan_id]
         self._mark_responsive(vm)
         view = self._views.get(vm)
         if view is not None:
@@ -543,7 +545,7 @@
         self._pending[request_id] = PendingRequest(vm, now)
         return Send(vm, PoolRequest(self.account, request_id, lease_id))
 
-    def _on_pool_reply(self, vm: Vm, msg: Pooled, now: float) -> None:
+    def _on_pool_reply(self, vm: Vm, msg: PoolReply, now: float) -> None:
         pending = self._pop_pending(vm, msg.request_id)
         view = self._views.get(vm)
         if pending is None or view is None:
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -19,7 +19,7 @@
     Borrow,
     Lend,
     Message,
-    Pooled,
+    PoolReply,
     PoolRequest,
     PoolReturn,
     Queued,
@@ -35,7 +35,15 @@
 """Extra wait after the timeout of a request, before a missing decision is a failure."""
 NOT_REQUESTED: Final = 0.0
 """Request time of an unsolicited record update, which confirms no share."""
-MESSAGE_KINDS: Final = (Borrow, Queued, Lend, Refund, PoolRequest, Pooled, PoolReturn)
+MESSAGE_KINDS: Final = (
+    Borrow,
+    Queued,
+    Lend,
+    Refund,
+    PoolRequest,
+    PoolReply,
+    PoolReturn,
+)
 
 
 def boot_time() -> float:
--- a/src/persimmonhitch/limits/messages.py
+++ b/src/persimmonhitch/limits/messages.py
@@ -83,7 +83,7 @@
 
 @message(25)
 @dataclass(frozen=True)
-class Pooled:
+class PoolReply:
     """Answer to ``PoolRequest``: the leased share and, for a new lease, its tokens.
 
     Zero ``parts`` is a refusal; ``ttl_s`` is then the time until the next request.
@@ -144,4 +144,4 @@
     generation: int
 
 
-Message = Borrow | Queued | Lend | Refund | PoolRequest | Pooled | PoolReturn
+Message = Borrow | Queued | Lend | Refund | PoolRequest | PoolReply | PoolReturn
--- a/src/persimmonhitch/settings/__init__.py
+++ b/src/persimmonhitch/settings/__init__.py
@@ -1,5 +1,5 @@
 """Typed and validated settings from INI files."""
 
-from .load import Mistake, load, load_or_exit, setting, table
+from .load import SettingsIssue, load, load_or_exit, setting, table
 
-__all__ = ["Mistake", "load", "load_or_exit", "setting", "table"]
+__all__ = ["SettingsIssue", "load", "load_or_exit", "setting", "table"]
--- a/src/persimmonhitch/settings/load.py
+++ b/src/persimmonhitch/settings/load.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Mistake:
+class SettingsIssue:
     """An error in a settings file and the expected value."""
 
     file: str
@@ -111,19 +111,23 @@
     return Success(value) if _in_bounds(spec, value) else Err(expected)
 
 
-def _unknown(cls: type, ini: configparser.ConfigParser, file: str) -> Iterator[Mistake]:
+def _unknown(
+    cls: type, ini: configparser.ConfigParser, file: str
+) -> Iterator[SettingsIssue]:
     known = {(f.metadata["section"], f.metadata["key"]) for f in fields(cls)}
     sections = {section for section, _ in known}
     for section in ini.sections():
         if section not in sections:
-            yield Mistake(file, section, "-", f"unknown section; known: {sections}")
+            yield SettingsIssue(
+                file, section, "-", f"unknown section; known: {sections}"
+            )
             continue
         for key in ini[section]:
             if (section, key) not in known:
-                yield Mistake(file, section, key, "unknown key")
+                yield SettingsIssue(file, section, key, "unknown key")
 
 
-def load(cls: type[T], path: Path) -> Result[T, tuple[Mistake, ...]]:
+def load(cls: type[T], path: Path) -> Result[T, tuple[SettingsIssue, ...]]:
     """Load a settings file into the dataclass ``cls``.
 
     Returns
@@ -136,7 +140,7 @@
     try:
         ini.read_string(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, configparser.Error) as exc:
-        return Err((Mistake(file, "-", "-", " ".join(str(exc).split())),))
+        return Err((SettingsIssue(file, "-", "-", " ".join(str(exc).split())),))
     mistakes = list(_unknown(cls, ini, file))
     values: dict[str, Any] = {}
     hints = get_type_hints(cls)
@@ -145,13 +149,15 @@
         text = ini.get(section, key, fallback=None)
         if text is None:
             if spec.default is MISSING:
-                mistakes.append(Mistake(file, section, key, "missing, must be given"))
+                mistakes.append(
+                    SettingsIssue(file, section, key, "missing, must be given")
+                )
             continue
         match _parse_value(hints[spec.name], spec, text.strip()):
             case Success(value):
                 values[spec.name] = value
             case Err(expected):
-                mistakes.append(Mistake(file, section, key, expected))
+                mistakes.append(SettingsIssue(file, section, key, expected))
     return Err(tuple(mistakes)) if mistakes else Success(cls(**values))
 
 
--- a/src/persimmonhitch/web/http.py
+++ b/src/persimmonhitch/web/http.py
@@ -21,7 +21,7 @@
 ENVIRON_HEADER_PREFIX: Final = "HTTP_"
 
 
-def _not_disconnected() -> bool:
+def _never_disconnected() -> bool:
     return False
 
 
@@ -34,7 +34,7 @@
     query: str
     headers: dict[str, str]
     body: bytes
-    disconnected: Callable[[], bool] = _not_disconnected
+    disconnected: Callable[[], bool] = _never_disconnected
     target: str = ""
     """Path and query exactly as received, to be forwarded unchanged."""
 
@@ -96,7 +96,9 @@
             query=environ.get("QUERY_STRING", ""),
             headers=_headers(environ),
             body=body,
-            disconnected=environ.get("waitress.client_disconnected", _not_disconnected),
+            disconnected=environ.get(
+                "waitress.client_disconnected", _never_disconnected
+            ),
             target=environ.get("REQUEST_URI", ""),
         )
     )
--- a/tests/test_decide_residency.py
+++ b/tests/test_decide_residency.py
@@ -8,8 +8,8 @@
 from persimmonhitch.decide.residency import (
     OVERDUE_AFTER_S,
     EngineView,
-    next_move,
-    next_overdue,
+    next_load,
+    next_overdue_load,
     next_restore,
     next_staging,
 )
@@ -42,7 +42,7 @@
     takes four times as long, and the engine accepts no other order in this time.
     """
     engines = [engine("e1", "a", "b"), engine("e2", "c", "d", disk=("c", "d", "e"))]
-    move = next_move(SPECS, demand_of(a=5000, e=4000, c=0, d=0), engines, True)
+    move = next_load(SPECS, demand_of(a=5000, e=4000, c=0, d=0), engines, True)
     assert (move.model, move.upstream, move.cold) == ("e", "e2", False)
 
 
@@ -51,7 +51,7 @@
         engine("e1", "a", "b"),
         engine("e2", "c", "d", disk=("c", "d", "e"), busy_s=1.0),
     ]
-    assert next_move(SPECS, demand_of(e=9000, b=0), engines, True) is None
+    assert next_load(SPECS, demand_of(e=9000, b=0), engines, True) is None
 
 
 def test_loads_of_rare_models_leave_engines_free():
@@ -62,9 +62,9 @@
     for n in range(2):
         engines[n] = engine(f"e{n}", "a", loading=frozenset({Model("f")}), busy_s=5.0)
     demand = demand_of(a=3000, b=0, c=900)
-    assert next_move(SPECS, demand, engines, True) is None
+    assert next_load(SPECS, demand, engines, True) is None
     demand = demand_of(a=3000, b=0, c=900, d=9000)
-    move = next_move(SPECS, demand, engines, True)
+    move = next_load(SPECS, demand, engines, True)
     assert move is not None and move.model == "d"
 
 
@@ -78,17 +78,20 @@
         engine("e2", "a", "d"),
     ]
     demand = demand_of(a=40_000, b=20_000, d=20_000, c=900)
-    assert next_move(SPECS, demand, engines, True) is None
+    assert next_load(SPECS, demand, engines, True) is None
     c = Model("c")
-    assert next_overdue(SPECS, demand, engines, {c: OVERDUE_AFTER_S - 1}, True) is None
-    move = next_overdue(SPECS, demand, engines, {c: OVERDUE_AFTER_S}, True)
+    assert (
+        next_overdue_load(SPECS, demand, engines, {c: OVERDUE_AFTER_S - 1}, True)
+        is None
+    )
+    move = next_overdue_load(SPECS, demand, engines, {c: OVERDUE_AFTER_S}, True)
     assert (move.model, move.upstream, move.cold) == ("c", "e1", False)
 
 
 def test_overdue_model_that_is_loading_is_not_loaded_twice():
     engines = [engine("e1", "a", loading=frozenset({Model("c")})), engine("e2", "a")]
     missing = {Model("c"): OVERDUE_AFTER_S * 2}
-    assert next_overdue(SPECS, demand_of(c=900), engines, missing, True) is None
+    assert next_overdue_load(SPECS, demand_of(c=900), engines, missing, True) is None
 
 
 @pytest.mark.parametrize(
@@ -123,7 +126,7 @@
     ]
     demand = demand_of(a=900_000, b=900_000, c=900)
     missing = {Model("c"): OVERDUE_AFTER_S}
-    move = next_overdue(specs | SPECS, demand, views, missing, True, rare)
+    move = next_overdue_load(specs | SPECS, demand, views, missing, True, rare)
     assert (move is not None) is expected
 
 
@@ -132,13 +135,13 @@
     other repeatedly.
     """
     engines = [engine("e1", "a", "b", disk=("a", "b", "c"))]
-    assert next_move(SPECS, demand_of(a=3000, b=3000, c=3500), engines, True) is None
+    assert next_load(SPECS, demand_of(a=3000, b=3000, c=3500), engines, True) is None
 
 
 def test_recently_loaded_model_is_not_evicted():
     settling = frozenset({Model("b")})
     engines = [engine("e1", "a", "b", disk=("a", "b", "c"), settling=settling)]
-    move = next_move(SPECS, demand_of(a=5000, b=0, c=900), engines, True)
+    move = next_load(SPECS, demand_of(a=5000, b=0, c=900), engines, True)
     assert move is None
 
 
@@ -154,9 +157,9 @@
         engine("e2", "a", "b", disk=disk),
     ]
     demand = demand_of(a=5000, b=0, c=9000)
-    move = next_move(SPECS, demand, engines, True)
+    move = next_load(SPECS, demand, engines, True)
     assert (move.upstream, move.total_s) == ("e2", 2.0)
-    move = next_move(SPECS, demand, engines[:1], True)
+    move = next_load(SPECS, demand, engines[:1], True)
     assert (move.upstream, move.total_s) == ("e1", 6.0)
 
 
@@ -169,7 +172,7 @@
 
 def test_busy_model_gets_a_second_copy():
     engines = [engine("e1", "a", "b"), engine("e2", "c", "d", disk=("a", "c", "d"))]
-    move = next_move(SPECS, demand_of(a=30_000, b=9000, c=0, d=0), engines, True)
+    move = next_load(SPECS, demand_of(a=30_000, b=9000, c=0, d=0), engines, True)
     assert (move.model, move.upstream) == ("a", "e2")
 
 
@@ -179,7 +182,7 @@
         engine("e2", "c", loading=frozenset({Model("e")}), busy_s=1.0),
         engine("e3", "d", "f", disk=("d", "f", "e")),
     ]
-    assert next_move(SPECS, demand_of(e=4000, a=100), engines, True) is None
+    assert next_load(SPECS, demand_of(e=4000, a=100), engines, True) is None
 
 
 def test_uncached_models_are_staged_while_idle():
@@ -203,4 +206,4 @@
 
 def test_draining_engine_accepts_no_load():
     engines = [engine("e1", "a", "b", disk=("a", "b", "c"), busy_s=math.inf)]
-    assert next_move(SPECS, demand_of(c=9000, b=0), engines, True) is None
+    assert next_load(SPECS, demand_of(c=9000, b=0), engines, True) is None
--- a/tests/test_limits_safety.py
+++ b/tests/test_limits_safety.py
@@ -7,7 +7,7 @@
 from persimmonhitch.limits.account import AccountLimiter
 from persimmonhitch.limits.actions import Admit
 from persimmonhitch.limits.bucket import Bucket
-from persimmonhitch.limits.messages import Borrow, Pooled, PoolRequest, Refund
+from persimmonhitch.limits.messages import Borrow, PoolReply, PoolRequest, Refund
 from persimmonhitch.limits.record import (
     NO_PARTS,
     PARTS,
@@ -315,7 +315,7 @@
         limiter.tick(now)
     actions = limiter.reserve(1, 400.0, 30.0, 5.0)
     (request,) = [send.msg for send in actions if isinstance(send.msg, PoolRequest)]
-    answer = Pooled(ACCOUNT, request.request_id, "lease", PARTS // 2, 0.0, 4.0, 1)
+    answer = PoolReply(ACCOUNT, request.request_id, "lease", PARTS // 2, 0.0, 4.0, 1)
     limiter.receive("vm1", answer, 5.2)
     assert limiter.share.in_use == PARTS
     limiter.tick(8.9)
