--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -58,7 +58,7 @@
             keeper.step()
 
 
-def test_one_holder_and_a_rising_epoch(store, clock):
+def test_one_holder_at_a_time_with_increasing_epochs(store, clock):
     a, b = new_keeper(store, clock, "a"), new_keeper(store, clock, "b")
     a.step()
     advance(clock, 40, a, b)
@@ -68,7 +68,7 @@
     assert (a.epoch(), b.epoch()) == (None, 2)
 
 
-def test_a_holder_paused_past_its_lease_stops_by_its_own_clock(store, clock):
+def test_paused_holder_stops_by_its_own_clock(store, clock):
     """A planner's VM is paused for a minute and another planner acquires the lease.
 
     If the first continued, each would unload copies on which the other relies, and a
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_a_renewal_whose_answer_was_lost_keeps_the_lease(store, clock, lost):
+def test_renewal_with_a_lost_answer_keeps_the_lease(store, clock, lost):
     """The store applies a renewal but the answer is lost.
 
     If the holder took the repeated write for a conflict, it would lose its lease, and
@@ -127,7 +127,7 @@
     assert (a.epoch(), a.caretaker_epoch()) == (2, None)
 
 
-def test_an_overtaken_holder_goes_above_the_epoch_it_saw(store, clock):
+def test_superseded_holder_acquires_above_the_observed_epoch(store, clock):
     """The lease object was deleted, and sidecars have received a higher epoch.
 
     If epochs restarted at 1, sidecars would refuse every order from then on.
--- a/tests/test_planner_golden.py
+++ b/tests/test_planner_golden.py
@@ -160,13 +160,13 @@
     session.add("store back, epoch:", placed.lease()["epoch"])
 
     name = placed.lease()["holder"]
-    frozen = placed.fleet.processes[name]
-    frozen.signal(signal.SIGSTOP)
+    paused = placed.fleet.processes[name]
+    paused.signal(signal.SIGSTOP)
     wait_for(lambda: placed.lease()["epoch"] == 3, "the next leader")
     session.add("holder frozen past its lease, epoch:", placed.lease()["epoch"])
     before = placed.log(name).count("event=lease_lapsed")
     sent = placed.log(name).count("event=order_sent")
-    frozen.signal(signal.SIGCONT)
+    paused.signal(signal.SIGCONT)
     wait_for(lambda: placed.log(name).count("event=lease_lapsed") > before, "an expiry")
     session.add("an engine had more than its memory:", placed.memory_exceeded())
     for engine in ("engine-1", "engine-2"):
