--- a/src/persimmonhitch/planner/lease.py
+++ b/src/persimmonhitch/planner/lease.py
@@ -289,7 +289,7 @@
                 self._write(None, self._epoch_floor() + 1, 0)
 
     def _epoch_floor(self) -> int:
-        """Return a lower bound for the next epoch that includes all known epochs.
+        """Return an epoch that is not below any that was ever used.
 
         A restored copy of the store may lack the latest epochs, but every epoch of an
         era is above all epochs of earlier eras.
@@ -316,7 +316,7 @@
             return True
         if self._may_be_held_elsewhere():
             return False
-        # At most one process runs on a VM, so an earlier holder on it has ended.
+        # A process that starts on a VM proves that the previous one there has ended.
         if old.holder in (NO_HOLDER, self._vm) or old.incarnation == self._incarnation:
             return True
         if self._seen_version != obj.version:
@@ -352,8 +352,8 @@
         # held one. Every later renewal would conflict, and a healthy holder would lose
         # its lease.
         if error is StoreError.UNAVAILABLE:
-            # The next renewal shows the result. A read would time out as well, and the
-            # time is needed to ask peers about the store before the lease expires.
+            # The next renewal shows the result. A read now could take as long as the
+            # write did, and peers that reach the store must be asked before expiry.
             return
         if error is not StoreError.CONFLICT:
             self._held = None
--- a/src/persimmonhitch/planner/planning.py
+++ b/src/persimmonhitch/planner/planning.py
@@ -235,7 +235,10 @@
         )
 
     def _copy_id(self, move: Move, absent: bool) -> tuple[Model | None, Adapter | None]:
-        """Return the base model and adapter that identify the copy at the sidecar."""
+        """Return the base model and adapter that identify the copy at the sidecar.
+
+        For a model ``absent`` from the catalog they are read from the inventory.
+        """
         if not absent:
             base = self._catalog.models[move.model].base
             if base is None:
--- a/tests/test_planner_golden.py
+++ b/tests/test_planner_golden.py
@@ -128,7 +128,7 @@
 
     killed = placed.engine_of("m-a")
     placed.fleet.processes[killed].kill()
-    session.add("an engine killed and none in its place:", placed.all_answer())
+    session.add("an engine killed and not replaced:", placed.all_answer())
     placed.start_engine(killed)
 
     placed.set_faults(late=1, late_by=0.8)
@@ -137,7 +137,7 @@
     for name in ("e1", "e2"):
         placed.fleet.processes[f"sidecar-{name}"].kill()
     placed.start_sidecars()
-    session.add("sidecars killed amid a late load, all answer:", placed.all_answer())
+    session.add("sidecars killed during a late load, all answer:", placed.all_answer())
     session.add("an engine had more than its memory:", placed.memory_exceeded())
 
     placed.set_faults(lost=1, answers_lost=1)
@@ -157,13 +157,13 @@
     session.add("store down, both engines replaced, all answer:", placed.all_answer())
     placed.fleet.set_faults()
     wait_for(lambda: placed.lease()["epoch"] == 2, "a leader")
-    session.add("store back, epoch:", placed.lease()["epoch"])
+    session.add("store available again, epoch:", placed.lease()["epoch"])
 
     name = placed.lease()["holder"]
     paused = placed.fleet.processes[name]
     paused.signal(signal.SIGSTOP)
     wait_for(lambda: placed.lease()["epoch"] == 3, "the next leader")
-    session.add("holder frozen past its lease, epoch:", placed.lease()["epoch"])
+    session.add("leader paused beyond its lease, epoch:", placed.lease()["epoch"])
     before = placed.log(name).count("event=lease_lapsed")
     sent = placed.log(name).count("event=order_sent")
     paused.signal(signal.SIGCONT)
@@ -171,13 +171,13 @@
     session.add("an engine had more than its memory:", placed.memory_exceeded())
     for engine in ("engine-1", "engine-2"):
         placed.restart_engine(engine)
-    session.add("both engines replaced after it, all answer:", placed.all_answer())
+    session.add("both engines replaced afterwards, all answer:", placed.all_answer())
     new_orders = placed.log(name).count("event=order_sent") - sent
-    session.add("orders of the thawed planner:", new_orders)
+    session.add("orders of the resumed planner:", new_orders)
 
     leader = placed.fleet.processes[placed.lease()["holder"]]
-    session.add("holder asked to stop, exits with", leader.stop())
+    session.add("leader asked to stop, exits with", leader.stop())
     wait_for(lambda: placed.lease()["epoch"] == 4, "the next leader")
-    session.add("next holder at once, epoch:", placed.lease()["epoch"])
+    session.add("next leader at once, epoch:", placed.lease()["epoch"])
     session.add("an engine had more than its memory:", placed.memory_exceeded())
     session.check()
