--- a/src/persimmonhitch/entry/calls.py
+++ b/src/persimmonhitch/entry/calls.py
@@ -196,7 +196,7 @@
         return _invalid(error)
     limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     # Always send the limit to the engine: an answer longer than the reserved
-    # tokens would take the account above its rate.
+    # tokens would let the account exceed its rate.
     forwarded = {**body, "max_tokens": limit}
     return Success(
         Call(
--- a/src/persimmonhitch/entry/gateway.py
+++ b/src/persimmonhitch/entry/gateway.py
@@ -205,7 +205,7 @@
         if exc is not None and exc.verdict is Verdict.NOT_RUN:
             used = Tokens(0.0)
         # An interrupted answer may have cost all reserved tokens. Returning some
-        # of them could take the account above its rate.
+        # of them could let the account exceed its rate.
         spent = Tokens(min(reserved, reserved if used is None else used))
         self._limiter.settle(ctx.reservation, spent)
         self._metrics.tokens_used(ctx.account, spent)
