--- a/src/persimmonhitch/decide/request_limits.py
+++ b/src/persimmonhitch/decide/request_limits.py
@@ -29,7 +29,8 @@
 """Requests per second if the stated limit is malformed."""
 BURST_REQUESTS: Final = 1.0
 BURST_S: Final = 0.25
-"""The capacity of a bucket is ``BURST_REQUESTS`` plus the requests of this time."""
+"""Seconds of the request rate added to ``BURST_REQUESTS`` to get the capacity of a
+bucket."""
 MAX_ORDER_OVERDRAFT: Final = 1.0
 """Requests by which load orders may exceed the rate, since requests wait for the models
 to be loaded."""
--- a/src/persimmonhitch/decide/residency.py
+++ b/src/persimmonhitch/decide/residency.py
@@ -152,7 +152,7 @@
     engines: Iterable[EngineView],
     cold_allowed: bool,
 ) -> Move | None:
-    """Return the load with the largest gain, or None if no load has a positive gain."""
+    """Return the model load with the largest positive gain, None if no load has one."""
     state = _PlacementState(specs, demand, list(engines))
     requested = [m for m in demand if m in specs and state.relief(m) > 0]
     best_gains = [_best_gain(state, model, cold_allowed) for model in requested]
--- a/src/persimmonhitch/decide/warmup.py
+++ b/src/persimmonhitch/decide/warmup.py
@@ -1,10 +1,10 @@
 """Gradual shift of traffic to a new or returning copy.
 
-Load pattern: a copy starts to serve while its model is busy. The copy has the least
-load, so every entry would send all its requests there; its prefix cache is cold, and
-callers would get slow first tokens from the copy that was added to relieve the others.
-The copy's share of the traffic rises linearly over ``WARMUP_S``, the time in which a
-cache that serves one request per second has seen the common prefixes.
+Load pattern: a copy is often added while its model is busy. Because the new copy has
+the least load, every entry would send it all requests while its prefix cache is still
+cold, and the time to the first token would rise. Its share of the traffic therefore
+rises linearly over ``WARMUP_S``, the time in which a copy at one request per second
+caches the common prefixes.
 """
 
 from typing import Final
--- a/src/persimmonhitch/direct/engine_client.py
+++ b/src/persimmonhitch/direct/engine_client.py
@@ -30,7 +30,8 @@
     """Another order is in progress, or the order count has changed."""
     FENCED = "fenced"
     GONE = "gone"
-    """Another upstream instance answers at the address."""
+    """The expected upstream instance is gone; another instance answers at its
+    address."""
     LIMITED = "limited"
     """Not sent, since the request limit of the engine is reached."""
     UNKNOWN = "unknown"
--- a/src/persimmonhitch/direct/exchange.py
+++ b/src/persimmonhitch/direct/exchange.py
@@ -116,9 +116,9 @@
     def send(
         self, address: Address, req: OutgoingRequest, abort: Abort, timeout_s: float
     ) -> Result[Reply, Failure]:
-        """Send a request and wait for the head of its answer.
+        """Send a request and read the response headers.
 
-        A failure with verdict ``NOT_RUN`` means that the request was not sent.
+        A failure with the verdict ``NOT_RUN`` means that the request was not sent.
         """
         max_idle_s = float("inf") if req.repeatable else MAX_IDLE_UNREPEATABLE_S
         conn = self._pool.acquire(address, max_idle_s)
--- a/src/persimmonhitch/direct/gateway.py
+++ b/src/persimmonhitch/direct/gateway.py
@@ -201,7 +201,7 @@
 
 
 class _StreamBody:
-    """Body of a streamed answer; the server always calls ``close``."""
+    """Body of a streamed response; the server always calls ``close``."""
 
     def __init__(self, gateway: Gateway, request: InFlightRequest) -> None:
         self._gateway = gateway
--- a/src/persimmonhitch/limits/lending.py
+++ b/src/persimmonhitch/limits/lending.py
@@ -19,7 +19,7 @@
 from ..ids import Vm
 
 ANSWER_TIMEOUT_S: Final = 0.25
-"""Timeout of the first answer; twice the round trip between distant regions."""
+"""Timeout of a lender's first reply; twice the round trip between distant regions."""
 MIN_PROBE_INTERVAL_S: Final = 0.25
 MAX_PROBE_INTERVAL_S: Final = 8.0
 """Interval between probes of an unresponsive holder; doubles after each probe."""
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -30,7 +30,7 @@
 from .record import NO_PARTS, ShareRecord, from_spec
 
 TICK_S: Final = 1.0
-"""Maximum interval between ticks of an account."""
+"""Maximum interval between periodic updates of an account."""
 GRACE_S: Final = 1.0
 """Extra wait after the timeout of a request, before a missing decision is a failure."""
 NOT_REQUESTED: Final = 0.0
@@ -110,7 +110,7 @@
         self._thread = threading.Thread(target=self._run, name="limits", daemon=True)
 
     def start(self) -> None:
-        """Start the thread that ticks the accounts."""
+        """Start the thread that updates the accounts periodically."""
         self._thread.start()
 
     def close(self) -> None:
@@ -286,7 +286,7 @@
                 self.tick_or_log(account)
 
     def tick_or_log(self, account: Account) -> None:
-        """Tick one account and log an error, so that other accounts still tick."""
+        """Update one account; log an error, so that the others are still updated."""
         try:
             self._tick(account)
         except Exception as exc:
--- a/src/persimmonhitch/limits/pooled.py
+++ b/src/persimmonhitch/limits/pooled.py
@@ -49,19 +49,20 @@
     """The newest total reported by each peer."""
 
     _max_level: float = 0.0
-    """Upper bound of the level: the burst less the share of unresponsive entries."""
+    """Upper bound of the bucket level: the burst capacity less the share of
+    unresponsive entries."""
 
     def __post_init__(self) -> None:
         self.level = self._max_level = self.burst
 
     def resize(self, rate: float, burst: float) -> None:
-        """Apply a new rate and burst; tokens above the new burst are dropped."""
+        """Apply a new rate and burst capacity; drop tokens above the capacity."""
         self.rate, self.burst = rate, burst
         self._max_level = burst
         self.level = min(self.level, burst)
 
     def advance(self, now: float, unresponsive: int, entry_count: int) -> None:
-        """Refill up to ``now``, less the share of unresponsive entries."""
+        """Refill the bucket up to ``now``, less the share of unresponsive entries."""
         elapsed_s = max(0.0, now - self.updated_at)
         self.updated_at = max(now, self.updated_at)
         unresponsive_share = unresponsive / max(1, entry_count)
--- a/src/persimmonhitch/limits/record.py
+++ b/src/persimmonhitch/limits/record.py
@@ -28,9 +28,9 @@
 """Maximum share of a VM after rebalancing; bounds the part of its rate that an account
 loses when the VM fails."""
 MIN_DEMAND_RATIO: Final = 2.0
-"""Minimum ratio of the borrower's demand to the holder's for a move of the share."""
+"""Minimum ratio of the borrower's demand to the holder's for a transfer."""
 MIN_DEMAND_SHARE: Final = 0.35
-"""Minimum fraction of the total demand for a borrower; below it a move saves little."""
+"""Minimum fraction of total demand for a borrower; below it a transfer saves little."""
 
 
 @dataclass(frozen=True)
@@ -117,7 +117,7 @@
 
 
 def reclaim(record: ShareRecord, lost: Iterable[Vm], live: Iterable[Vm]) -> ShareRecord:
-    """Transfer the shares of VMs that the platform no longer lists."""
+    """Transfer the shares of VMs that the platform no longer lists to other VMs."""
     candidates = list(live)
     removed = set(lost)
     for vm in sorted(removed & set(record.parts)):
@@ -134,17 +134,18 @@
     ----------
     record : ShareRecord
         The newest record that the holder has read.
-    me : Vm
-        The holder that runs this; it can transfer only its own share.
+    holder : Vm
+        The VM that calls this function; it can transfer only its own share.
     demand : mapping
-        Tokens that each VM spent from this share since the last rebalancing,
-        including the holder.
+        Tokens spent from this share since the last rebalancing, by VM, including the
+        holder.
 
     Returns
     -------
     ShareRecord or None
-        The record to write, or None if a move gains too little. Half of the share is
-        moved at a time, a share below ``2 * MIN_PARTS`` as a whole.
+        The record to write, or None if the transfer is not worthwhile. Each call
+        transfers half of the share, or all of it if it is below ``2 * MIN_PARTS`` or
+        if the record has no room for another holder.
     """
     part = record.parts.get(holder, 0)
     borrower = max(
--- a/src/persimmonhitch/limits/share.py
+++ b/src/persimmonhitch/limits/share.py
@@ -2,7 +2,7 @@
 
 Load pattern: entries crash, freeze and restart while the account sends at its rate. A
 share is a fraction of rate and burst that the record in the store assigns to this VM.
-Only a new record ends it, never a timeout, so an outage of the store has no effect.
+Only a new record ends a share, never a timeout: store outages have no effect on it.
 Separate buckets waste tokens: a full bucket drops its refill while another is empty.
 Therefore the holders lend their whole shares to one of them under short leases. If that
 holder fails, each owner regains its share when the lease expires, without the store.
--- a/src/persimmonhitch/limits/share_manager.py
+++ b/src/persimmonhitch/limits/share_manager.py
@@ -31,7 +31,7 @@
 POLL_INTERVAL_S: Final = 5.0
 """Poll interval of the store; each poll is two reads, independent of the load."""
 CREATE_DELAY_S: Final = 1.0
-"""Delay after the start of the process before it creates records."""
+"""Time after the start of a process during which it creates no share records."""
 RETRY_INTERVAL_S: Final = 0.2
 """Poll interval while an account has no record yet, and retry interval of a release."""
 REBALANCE_INTERVAL_S: Final = 30.0
--- a/src/persimmonhitch/planner/lease.py
+++ b/src/persimmonhitch/planner/lease.py
@@ -136,7 +136,8 @@
         self._restored_at: float | None = None
         """When this process learned that the store was restored from an older copy."""
         self._exclusive_until = 0.0
-        """End of the lease held at a restore; nobody else can acquire it before."""
+        """Expiry of the lease that this process held when the store was restored from
+        an older copy. Until this time no other process can acquire the lease."""
         self.predecessor: Predecessor | None = None
         """Previous holder, which may be an earlier process on this VM, or None."""
 
@@ -204,7 +205,7 @@
             self._restored_at = now
 
     def _has_exclusive_claim(self) -> bool:
-        """Return whether this process held a still valid lease at a restore."""
+        """Return whether the lease held by this process at a restore is still valid."""
         return self._clock() < self._exclusive_until
 
     def _may_be_held_elsewhere(self) -> bool:
--- a/src/persimmonhitch/platform/config_format.py
+++ b/src/persimmonhitch/platform/config_format.py
@@ -57,7 +57,7 @@
         name=str(raw["name"]),
         host=str(raw["hostname"]),
         prefix=str(raw["path_prefix"]),
-        # Requests of an unknown kind are never repeated, since that may be unsafe.
+        # Requests of an unknown kind are never retried, since a retry may be unsafe.
         kind=ROUTE_KINDS.get(raw.get("route_kind", ""), RouteKind.NON_IDEMPOTENT),
         targets=tuple(
             Target(Service(part["service"]), float(part["weight"])) for part in split
--- a/src/persimmonhitch/platform/objects_format.py
+++ b/src/persimmonhitch/platform/objects_format.py
@@ -18,6 +18,7 @@
 
 Body = dict[str, Any]
 NO_ERA: Final = Era(0)
+"""Era of a store that was never restored from an older copy, or that reports none."""
 
 PLATFORM_KIND_NAMES: Final = {Kind.UPSTREAM: "servers", Kind.FLEET: "config"}
 """Names of the kinds that the platform defines; all others are their enum values."""
--- a/src/persimmonhitch/settings/load.py
+++ b/src/persimmonhitch/settings/load.py
@@ -1,4 +1,4 @@
-"""Load a settings file into a dataclass and report every mistake in the file."""
+"""Load a settings file into a dataclass and report every error in the file."""
 
 import configparser
 import sys
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class SettingsIssue:
-    """An error in a settings file and the expected value."""
+    """An error in a settings file, with the value that was expected."""
 
     file: str
     section: str
--- a/src/persimmonhitch/store/era.py
+++ b/src/persimmonhitch/store/era.py
@@ -1,7 +1,8 @@
-"""Eras of the store, which may be restored from an older copy and then reuse revisions.
+"""Eras of the store; an era is the number of restores from an older copy so far.
 
-A version has the era in its upper bits and the store's revision in its lower bits, so
-that any version of a newer era is greater than all versions of older eras.
+A restored store may reuse revisions. A version has the era in its upper bits and the
+store's revision in its lower bits, so that any version of a newer era is greater than
+all versions of older eras.
 """
 
 import threading
--- a/src/persimmonhitch/web/__init__.py
+++ b/src/persimmonhitch/web/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP interface to callers: requests, answers and the HTTP server."""
+"""HTTP interface to callers: requests, responses and the HTTP server."""
 
 from .http import Answer, Body, Request, json_answer, read_request
 from .server import WebServer
--- a/src/persimmonhitch/web/http.py
+++ b/src/persimmonhitch/web/http.py
@@ -1,4 +1,4 @@
-"""Typed HTTP requests and answers on top of WSGI."""
+"""Typed HTTP requests and responses on top of WSGI."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """Status, headers and body of an HTTP answer."""
+    """Status, headers and body of an HTTP response."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -58,7 +58,7 @@
 
 
 def json_answer(status: int, value: Any, **headers: str) -> Answer:
-    """Return an answer with ``value`` as its JSON body and additional headers."""
+    """Return a response with ``value`` as its JSON body and additional headers."""
     data = json.dumps(value).encode()
     standard = {"Content-Type": "application/json", "Content-Length": str(len(data))}
     extra = {name.replace("_", "-"): text for name, text in headers.items()}
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -48,7 +48,7 @@
 
     def set_close_on_finish(self) -> None:
         # A chunked answer is self-delimiting, so its connection can be reused. waitress
-        # closes it anyway: each client would reconnect after every stream.
+        # closes the connection, and each client would reconnect after every stream.
         chunked = self.chunked_response and self.version == "1.1"
         conn_header = self.request.headers.get("CONNECTION", "").lower()
         if self.channel.server.keep_streams and chunked and conn_header != "close":
--- a/src/persimmonhitch/wire/messages.py
+++ b/src/persimmonhitch/wire/messages.py
@@ -123,7 +123,7 @@
 @message(5)
 @dataclass(frozen=True)
 class Tombstone:
-    """Request not to run a request that arrives later, and ask whether it has run."""
+    """Reject a request if it arrives later, and ask whether it has already run."""
 
     request: RequestId
     incarnation: Incarnation
@@ -141,7 +141,7 @@
 @message(7)
 @dataclass(frozen=True)
 class Head:
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     request: RequestId
     attempt: int
@@ -152,7 +152,7 @@
 @message(8)
 @dataclass(frozen=True)
 class Chunk:
-    """Part of the body of an answer; ``seq`` counts from 0 without gaps."""
+    """Part of the body of a response; ``seq`` counts from 0 without gaps."""
 
     request: RequestId
     attempt: int
@@ -163,7 +163,7 @@
 @message(9)
 @dataclass(frozen=True)
 class End:
-    """The answer is complete; ``chunk_count`` chunks were sent."""
+    """The response is complete; ``chunk_count`` chunks were sent."""
 
     request: RequestId
     attempt: int
@@ -174,7 +174,7 @@
 @message(10)
 @dataclass(frozen=True)
 class Fail:
-    """The attempt ended without a complete answer."""
+    """The attempt ended without a complete response."""
 
     request: RequestId
     attempt: int
@@ -251,7 +251,7 @@
 @message(15)
 @dataclass(frozen=True)
 class FlowControl:
-    """Pause or resume reading the answer of an attempt from the upstream."""
+    """Pause or resume reading the response of an attempt from the upstream."""
 
     request: RequestId
     attempt: int
@@ -264,7 +264,7 @@
     """Resume an attempt over a new link after link loss, from chunk ``next_chunk``.
 
     A sidecar that never received the request tombstones it and answers with ``Fail``
-    and the verdict not_run. A sidecar that has the answer sends it again.
+    and the verdict not_run. A sidecar that has the response sends it again.
     """
 
     request: RequestId
