--- a/src/persimmonhitch/limits/account.py
+++ b/src/persimmonhitch/limits/account.py
@@ -4,7 +4,7 @@
 its tokens are refilled. Each request is admitted, waits while tokens can arrive before
 its deadline, or is refused at once when they cannot. The state machine does no I/O:
 every method receives the current time and returns the actions to perform. The limiter
-and the simulation both drive it.
+and the simulation both run this state machine.
 """
 
 from collections import OrderedDict
@@ -81,7 +81,7 @@
         return self.tick(now)
 
     def settle(self, ticket: Ticket, used: Tokens, now: float) -> list[Action]:
-        """Return the tokens that an admitted request did not use."""
+        """Refund the tokens that an admitted request did not use."""
         charge = self._charges.pop(ticket, None)
         if charge is None:
             return []
@@ -148,7 +148,7 @@
         return self.tick(now)
 
     def peer_disconnected(self, vm: Vm, now: float) -> list[Action]:
-        """Stop waiting for answers of a peer whose connection is lost."""
+        """Stop waiting for replies of a peer whose connection is lost."""
         for pending in self._pending.values():
             if pending.vm == vm:
                 pending.sent_at, pending.queued = float("-inf"), False
@@ -163,7 +163,7 @@
         return self.tick(now)
 
     def stop_pooling(self, now: float) -> list[Action]:
-        """Return all pooled shares because this process is stopping."""
+        """Give back all pooled shares because this process is stopping."""
         self.share.advance(now)
         return self._return_pool(now)
 
@@ -317,7 +317,7 @@
 
     def _pop_pending(self, vm: Vm, loan_id: LoanId) -> PendingRequest | None:
         # Drop an answer after the timeout and a duplicate answer: this loses tokens,
-        # whereas accepting them could spend the same tokens twice.
+        # whereas accepting the answer could spend the same tokens twice.
         pending = self._pending.get(loan_id)
         if pending is None or pending.vm != vm:
             return None
--- a/src/persimmonhitch/limits/bucket.py
+++ b/src/persimmonhitch/limits/bucket.py
@@ -116,7 +116,7 @@
         return credited
 
     def repay(self, loan: Loan, tokens: float, now: float) -> float:
-        """Return part of a loan to the bucket; return the number of tokens credited.
+        """Credit part of a loan to the bucket; return the number of tokens credited.
 
         An outstanding loan still has its room reserved. After its expiry, tokens are
         credited only up to the lowest headroom since then.
--- a/src/persimmonhitch/limits/limiter.py
+++ b/src/persimmonhitch/limits/limiter.py
@@ -114,7 +114,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stop the tick thread and refuse all waiting requests."""
+        """Stop the periodic updates and refuse all waiting requests."""
         with self._changed:
             self._stopping = True
             for decision in self._decisions.values():
@@ -149,7 +149,7 @@
         return Err(_refusal(action, cost, plan))
 
     def settle(self, reservation: Reservation, used: Tokens) -> None:
-        """Return the unused tokens of a reservation."""
+        """Refund the unused tokens of a reservation."""
         with self._changed:
             limiter = self._accounts[reservation.account]
             actions = limiter.settle(reservation.ticket, used, self._clock())
--- a/src/persimmonhitch/limits/messages.py
+++ b/src/persimmonhitch/limits/messages.py
@@ -27,7 +27,7 @@
 @message(21)
 @dataclass(frozen=True)
 class Queued:
-    """Interim answer to ``Borrow``: the request waits for tokens; ``Lend`` follows."""
+    """Interim reply to ``Borrow``: the request waits for tokens; ``Lend`` follows."""
 
     account: Account
     loan: LoanId
@@ -36,12 +36,12 @@
 @message(22)
 @dataclass(frozen=True)
 class Lend:
-    """Answer to ``Borrow``; zero tokens is a refusal.
+    """Reply to ``Borrow``; zero tokens mean a refusal.
 
     Attributes
     ----------
-    queued : float
-        Time from the arrival of ``Borrow`` to this answer. For the borrower the loan
+    queued_s : float
+        Time from the arrival of ``Borrow`` to this reply. For the borrower the loan
         starts when it sent ``Borrow`` plus this time, which is never later than the
         start at the lender, whatever the delay of the two messages.
     retry_after : float
@@ -64,7 +64,7 @@
 @message(23)
 @dataclass(frozen=True)
 class Refund:
-    """Return unused tokens of a loan; credited at most once per loan."""
+    """Refund unused tokens of a loan; credited at most once per loan."""
 
     account: Account
     loan: LoanId
@@ -84,9 +84,9 @@
 @message(25)
 @dataclass(frozen=True)
 class PoolReply:
-    """Answer to ``PoolRequest``: the leased share and, for a new lease, its tokens.
+    """Reply to ``PoolRequest``: the leased share and, for a new lease, its tokens.
 
-    Zero ``parts`` is a refusal; ``ttl_s`` is then the time until the next request.
+    Zero ``parts`` mean a refusal; ``ttl_s`` is then the time until the next request.
     """
 
     account: Account
@@ -101,7 +101,7 @@
 @message(26)
 @dataclass(frozen=True)
 class PoolReturn:
-    """Return a pooled share and its tokens before the lease expires."""
+    """Give back a pooled share and its tokens before the lease expires."""
 
     account: Account
     lease_id: LoanId
@@ -137,7 +137,7 @@
 @message(29)
 @dataclass(frozen=True)
 class ShareRevoked:
-    """Notice that the record of ``generation`` reclaimed the share of a VM."""
+    """Report that the record of ``generation`` has reclaimed the share of a VM."""
 
     account: Account
     vm: Vm
--- a/src/persimmonhitch/limits/pooled.py
+++ b/src/persimmonhitch/limits/pooled.py
@@ -25,7 +25,7 @@
 from ..ids import Tokens, Vm
 
 UPDATE_INTERVAL_S: Final = 0.2
-"""Interval between two updates of an entry."""
+"""Interval between two status updates that an entry sends to its peers."""
 RATE_WINDOW_S: Final = 0.2
 """Averaging time of the rate at which peers spend."""
 PEER_TIMEOUT_S: Final = 1.0
@@ -43,10 +43,10 @@
     """Tokens spent at this entry since the process started."""
     level: float = 0.0
     _peer_rate: float = 0.0
-    """Tokens a second that peers spent recently, as of ``_peer_rate_at``."""
+    """Tokens per second that peers spent recently, as of ``_peer_rate_at``."""
     _peer_rate_at: float = 0.0
     _peer_used: dict[Vm, float] = field(default_factory=dict)
-    """The newest total reported by each peer."""
+    """Tokens spent at each peer, as of its newest update."""
 
     _max_level: float = 0.0
     """Upper bound of the bucket level: the burst capacity less the share of
@@ -97,7 +97,7 @@
         return (min(cost, self._max_level) - level) / self.rate
 
     def refund(self, cost: Tokens) -> None:
-        """Return the tokens of a request that did not run."""
+        """Refund the tokens of a request that did not run."""
         if self.rate > 0:
             self.level = min(self.burst, self.level + cost)
             self.used -= cost
--- a/src/persimmonhitch/limits/share.py
+++ b/src/persimmonhitch/limits/share.py
@@ -117,7 +117,7 @@
     def confirm(self, record: ShareRecord, as_of: float, now: float) -> bool:
         """Apply a record that the store or a peer returned to a request at ``as_of``.
 
-        An answer to a request from before the pause does not confirm the share: the
+        A reply to a request from before the pause does not confirm the share: the
         share may have been transferred to another VM since then.
         """
         newer = self.adopt(record, now)
@@ -127,7 +127,7 @@
         return newer
 
     def shrink_to(self, record: ShareRecord, now: float) -> bool:
-        """Shrink to the part in ``record`` before the record is written.
+        """Shrink the share to the part in ``record`` before the record is written.
 
         Return False while the share is lent: until the lease ends, both the borrower
         and the new holder would use it.
--- a/src/persimmonhitch/limits/share_manager.py
+++ b/src/persimmonhitch/limits/share_manager.py
@@ -160,8 +160,8 @@
         result = self._store.create(Kind.SHARE, account, record.to_spec())
         if not isinstance(result, Success):
             return
-        # There was no holder before, so there can be no outstanding loan and the
-        # account starts with its full burst.
+        # The account has had no holder, so no loan can be outstanding and the account
+        # starts with its full burst.
         self._objects[account] = result.unwrap()
         # Until the account has other holders, it depends on this VM alone.
         self._needs_holders = True
@@ -198,7 +198,7 @@
                 self._revoked.append(ShareRevoked(account, vm, new.generation))
 
     def _resend_revoked(self) -> None:
-        # Repeated on each poll for sidecars that were linked since the last poll.
+        # Each poll repeats the messages for sidecars linked since the previous poll.
         for msg in self._revoked:
             self._broadcast_revoked(msg)
 
--- a/src/persimmonhitch/observe/logs.py
+++ b/src/persimmonhitch/observe/logs.py
@@ -128,7 +128,7 @@
 class SampledLog:
     """Logs up to ``max_per_s`` events of one kind per second and counts the others.
 
-    Under load there are thousands of successful answers per second with similar log
+    Under load there are thousands of successful responses per second with similar log
     lines, and each line takes processor time from the requests.
     """
 
--- a/src/persimmonhitch/observe/metrics.py
+++ b/src/persimmonhitch/observe/metrics.py
@@ -265,11 +265,11 @@
         self._queue_time.record(seconds, self._account_labels(account))
 
     def first_token(self, account: Account, seconds: float) -> None:
-        """Record the time to the first chunk of an answer."""
+        """Record the time to the first chunk of a response."""
         self._first_token.record(seconds, self._account_labels(account))
 
     def token_gap(self, seconds: float) -> None:
-        """Record the time between two chunks of an answer."""
+        """Record the time between two chunks of a response."""
         self._token_gap.record(seconds)
 
     def update_age(self, seconds: float) -> None:
--- a/src/persimmonhitch/settings/load.py
+++ b/src/persimmonhitch/settings/load.py
@@ -133,7 +133,7 @@
     Returns
     -------
     Result
-        The settings, or all mistakes in the file.
+        The settings, or all errors in the file.
     """
     ini = configparser.ConfigParser(interpolation=None)
     file = str(path)
@@ -162,7 +162,7 @@
 
 
 def load_or_exit(cls: type[T], path: Path) -> T:
-    """Return the settings, or print all mistakes and exit with status 2."""
+    """Return the settings, or print all errors and exit with status 2."""
     result = load(cls, path)
     if isinstance(result, Success):
         settings: T = result.unwrap()
--- a/src/persimmonhitch/web/server.py
+++ b/src/persimmonhitch/web/server.py
@@ -15,17 +15,17 @@
 
 from .http import MAX_BODY_BYTES, Answer, Body, Environ, StartResponse, json_answer
 
-# The application logs failed answers itself, by request; waitress would repeat them.
+# The application logs failed responses by request; waitress would log them again.
 logging.getLogger("waitress").setLevel(logging.CRITICAL)
 
 App = Callable[[Environ, StartResponse], Body]
 RefusalBuilder = Callable[[int], Answer]
-"""Builds the answer to a request that the server itself refuses with a status."""
+"""Builds the response to a request that the server itself refuses with a status."""
 
 INTERNAL_SOCKETS: Final = 2
 """The listener and the trigger pipe, which waitress counts as connections."""
 MAX_UNSENT_BYTES: Final = 256 * 1024
-"""Maximum buffered bytes of an answer to a slow client."""
+"""Maximum buffered bytes of a response to a slow client."""
 REQUEST_LOOKAHEAD: Final = 1
 """Requests read ahead per connection; with 0 a client's disconnect is not detected."""
 MAX_IDLE_CONNS: Final = 2000
@@ -39,16 +39,16 @@
 
 
 class _Task(WSGITask):  # type: ignore[misc]
-    """Closes its connection after the answer if keep-alive is disabled.
+    """Closes its connection after the response if keep-alive is disabled.
 
     A persistent connection would deliver further requests to a process that waits for
-    its last request to complete. Only waitress may set the ``Connection`` header of an
-    answer; it sends ``close`` if the request contains ``Connection: close``.
+    its last request to complete. Only waitress may set the ``Connection`` header of a
+    response; it sends ``close`` if the request contains ``Connection: close``.
     """
 
     def set_close_on_finish(self) -> None:
-        # A chunked answer is self-delimiting, so its connection can be reused. waitress
-        # closes the connection, and each client would reconnect after every stream.
+        # A chunked response is self-delimiting, so its connection can be reused.
+        # waitress closes it, and each client would reconnect after every stream.
         chunked = self.chunked_response and self.version == "1.1"
         conn_header = self.request.headers.get("CONNECTION", "").lower()
         if self.channel.server.keep_streams and chunked and conn_header != "close":
@@ -81,7 +81,7 @@
     def service(self) -> None:
         """Run one request; then close the connection if idle ones are being closed.
 
-        The headers of the answer may have been sent without ``Connection: close``
+        The headers of the response may have been sent without ``Connection: close``
         before ``close_idle`` was called. The connection would then stay open and idle
         until the process exits.
         """
@@ -92,7 +92,7 @@
 
 
 class _OnDemandDispatcher(ThreadedTaskDispatcher):  # type: ignore[misc]
-    """Starts a thread when a request arrives and none is idle, up to a limit.
+    """Starts a thread when a request arrives and no thread is idle, up to a limit.
 
     Starting all threads in advance would slow down the start of a process and cost
     memory for threads that never receive a request.
@@ -155,7 +155,7 @@
             max_request_body_size=MAX_BODY_BYTES,
             clear_untrusted_proxy_headers=True,
             # VMs have no disks, so bodies must stay in memory. The high watermark
-            # blocks the thread of a slow reader before its answer spills to a file.
+            # blocks the thread of a slow reader before its response spills to a file.
             inbuf_overflow=2 * MAX_BODY_BYTES,
             outbuf_high_watermark=MAX_UNSENT_BYTES,
             # With select() the loop fails at the first descriptor of 1,024 or more.
--- a/src/persimmonhitch/wire/codec.py
+++ b/src/persimmonhitch/wire/codec.py
@@ -134,8 +134,8 @@
 def decode(frame: bytes) -> Result[Any, str]:
     """Decode a frame; return its message or a description of the error.
 
-    Every field is checked against its declared type. A frame of a faulty peer, or of
-    one with another version, is thus rejected before it reaches a state machine.
+    Every field is checked against its declared type. A frame of a faulty peer, or
+    of a peer with another version, is thus rejected before it reaches a state machine.
     """
     if len(frame) > MAX_FRAME_BYTES:
         return Err(f"frame too large: {len(frame)} bytes")
--- a/src/persimmonhitch/wire/link.py
+++ b/src/persimmonhitch/wire/link.py
@@ -143,7 +143,7 @@
             handler.on_message(self, result.unwrap())
         except Exception as exc:
             # The state of the handler may be inconsistent. Ending the link informs the
-            # peer, which would otherwise wait for an answer.
+            # peer, which would otherwise wait for a reply.
             self._refuse(f"handler failed: {exc!r}")
             return False
         return True
--- a/src/persimmonhitch/wire/messages.py
+++ b/src/persimmonhitch/wire/messages.py
@@ -85,7 +85,7 @@
 
     ``timeout_s`` counts from the time of sending, because the clocks of VMs differ.
     ``incarnation`` is the run of the sidecar process that may execute the attempt. A
-    restarted sidecar refuses it, because the earlier run may have executed it.
+    restarted sidecar refuses the attempt, which the earlier run may have executed.
     ``lender`` is the VM whose rate share is charged, under ``share_generation`` of the
     account's share record. ``weight`` is the account's share of a busy upstream.
     """
--- a/src/persimmonhitch/wire/placement.py
+++ b/src/persimmonhitch/wire/placement.py
@@ -40,7 +40,7 @@
 class Action(Enum):
     """Action of an order, the value of ``Order.action``.
 
-    ``FENCE`` loads and unloads nothing; the sidecar refuses older epochs after it.
+    ``FENCE`` loads and unloads nothing; afterwards the sidecar refuses older epochs.
     """
 
     LOAD = "load"
@@ -91,7 +91,7 @@
     capacity_gib: float
     free_gib: float
     accepts_loads: bool
-    """False after a start, while the sidecar refuses orders to load."""
+    """False after a start of the sidecar, while it refuses load orders."""
     draining: bool
     copies: tuple[CopyStatus, ...]
 
