--- a/src/persimmonhitch/settings/load.py
+++ b/src/persimmonhitch/settings/load.py
@@ -141,7 +141,7 @@
         ini.read_string(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, configparser.Error) as exc:
         return Err((SettingsIssue(file, "-", "-", " ".join(str(exc).split())),))
-    mistakes = list(_unknown(cls, ini, file))
+    issues = list(_unknown(cls, ini, file))
     values: dict[str, Any] = {}
     hints = get_type_hints(cls)
     for spec in fields(cls):  # type: ignore[arg-type]
@@ -149,7 +149,7 @@
         text = ini.get(section, key, fallback=None)
         if text is None:
             if spec.default is MISSING:
-                mistakes.append(
+                issues.append(
                     SettingsIssue(file, section, key, "missing, must be given")
                 )
             continue
@@ -157,8 +157,8 @@
             case Success(value):
                 values[spec.name] = value
             case Err(expected):
-                mistakes.append(SettingsIssue(file, section, key, expected))
-    return Err(tuple(mistakes)) if mistakes else Success(cls(**values))
+                issues.append(SettingsIssue(file, section, key, expected))
+    return Err(tuple(issues)) if issues else Success(cls(**values))
 
 
 def load_or_exit(cls: type[T], path: Path) -> T:
@@ -167,8 +167,8 @@
     if isinstance(result, Success):
         settings: T = result.unwrap()
         return settings
-    for mistake in result.failure():
-        print(mistake, file=sys.stderr)
+    for issue in result.failure():
+        print(issue, file=sys.stderr)
     sys.exit(EXIT_BAD_SETTINGS)
 
 
